--- a/src/main/java/slateseam/router/tier/SharedPolicy.java
+++ b/src/main/java/slateseam/router/tier/SharedPolicy.java
@@ -27,10 +27,16 @@
 import slateseam.tier.policy.PolicySettings;
 import slateseam.tier.policy.Version;
 
-/** This router's part in the policy of the tier, on its loop. What holds is handed to the router; whether it may serve is asked of it. */
+/**
+ * Runs this router's part in the tier's shared policy on the router's event loop. Applies the policy version in force to the router's
+ * settings and tells the router whether it may serve requests.
+ */
 public final class SharedPolicy implements PolicyPort {
+    /** Interval between two ticks of the policy protocol. */
     private static final long TICK_NANOS = 50 * Clock.MILLI;
+    /** Makes the random sequence used here differ from those of other parts of the router, which have the same configured seed. */
     private static final long SEED = 0x706f6c6963793031L;
+    /** Maximum size of the proposal file in bytes: room for a document of maximum size as an escaped JSON string, and other fields. */
     private static final int MOST_PROPOSAL = 2 * PolicyDocument.MOST_BYTES;
 
     private final Features.Policy settings;
@@ -39,19 +45,21 @@
     private final Tier tier;
     private final Supplier<Tally> tally;
     private final Consumer<NodeConfig> adopt;
-    /** The router's own file: what it is by itself. */
+    /** The settings of the router's own file, without the shared policy. */
     private NodeConfig own;
-    /** Null while another process speaks for this router. */
+    /** Null before the start and while another process acts for this router. */
     private Policy policy;
 
     private Peers peers;
+    /** The policy document applied last; empty if there is none. */
     private byte[] document = new byte[0];
+    /** The version proposed last by an operator at this router, or null. */
     private Version asked;
 
     /**
-     * Prepares it; it serves nothing before it talks.
+     * Creates a stopped instance, which permits no requests until {@link #talk} is called.
      *
-     * @param tally what was asked and served since the start
+     * @param tally supplies the numbers of requests received, served and refused since the start
      * @param adopt puts settings in force
      */
     public SharedPolicy(
@@ -70,7 +78,11 @@
         this.adopt = adopt;
     }
 
-    /** Begins, by these datagrams; null to fall silent, as another process of this router goes on. */
+    /**
+     * Starts to take part in the policy protocol, or stops without notice.
+     *
+     * @param by sends and receives the datagrams; null to stop because another process takes over this router
+     */
     public void talk(Peers by) {
         peers = by;
         policy = null;
@@ -112,12 +124,12 @@
         }
     }
 
-    /** Whether requests that come now may be served. */
+    /** Returns whether requests that arrive now may be served. */
     public boolean mayServe() {
         return policy != null && policy.mayServe(loop.now());
     }
 
-    /** The router's own file has changed: what it is to run by now. */
+    /** Replaces the settings of the router's own file and returns the settings that result with the policy applied on top. */
     public NodeConfig over(NodeConfig changed) throws InvalidConfigException {
         NodeConfig merged = PolicyDocument.over(changed, document);
         own = changed;
@@ -131,7 +143,10 @@
         }
     }
 
-    /** Nothing lasts here: a voter that restarts is another one. */
+    /**
+     * Writes nothing to disk: a voter that restarts takes part under a new identity. Reports each change as durable on the next turn of the
+     * loop.
+     */
     @Override
     public void persist(long number, DurableState.Change change) {
         Policy of = policy;
@@ -144,7 +159,7 @@
 
     @Override
     public void forget(String why) {
-        // there is nothing that lasts
+        // no state is stored
     }
 
     @Override
@@ -172,7 +187,7 @@
                     .line(
                             "policy-cannot",
                             "version=" + version.number() + " fault=\"" + e.getMessage()
-                                    + "\""); // it was checked just before
+                                    + "\""); // unexpected, because the document was checked before
         }
     }
 
@@ -191,12 +206,12 @@
         return tally.get();
     }
 
-    /** A group begins at this router; why it cannot, or null. */
+    /** Creates a policy group at this router; returns the reason of a failure, or null. */
     public String begin() {
         return policy == null ? "another process speaks for this router" : policy.begin();
     }
 
-    /** Proposes what lies where proposals lie; why it cannot, or null. */
+    /** Proposes the policy document in the configured proposal file; returns the reason of a failure, or null. */
     public String propose() {
         if (policy == null || policy.group() == 0) {
             return policy == null ? "another process speaks for this router" : "there is no group: policy begin";
@@ -233,7 +248,7 @@
         }
     }
 
-    /** Proposes to take the newest version back; why it cannot, or null. */
+    /** Proposes to revert the newest version; returns the reason of a failure, or null. */
     public String undo() {
         asked = policy == null ? null : policy.undo();
         return asked == null ? "there is no version to take back" : null;
@@ -243,7 +258,7 @@
         return policy == null ? -1 : policy.age(loop.now());
     }
 
-    /** Adds its figures. */
+    /** Registers the policy metrics. */
     public void count(Counts counts) {
         counts.gauge(
                         "policy_version",
@@ -264,7 +279,7 @@
                         () -> policy == null ? 0 : (int) policy.raft().term());
     }
 
-    /** All that is known, for operators. */
+    /** Returns the state of the policy for operators. */
     public JSONObject json() {
         JSONObject all = new JSONObject()
                 .put("name", config.name())
--- a/src/main/java/slateseam/router/tier/Tier.java
+++ b/src/main/java/slateseam/router/tier/Tier.java
@@ -30,12 +30,19 @@
 import slateseam.tier.members.State;
 import slateseam.tier.members.Traffic;
 
-/** This router's view of the tier, on its loop. What it comes to is logged, shown, and told to the decision module. */
+/**
+ * Runs the tier's membership protocol on this router's event loop. Logs membership changes, reports them to operators, and informs the
+ * decision module about this router's ring neighbours.
+ */
 public final class Tier {
+    /** Interval between two ticks of the membership protocol. */
     private static final long TICK_NANOS = 50 * Clock.MILLI;
-    /** So that what is drawn here is not what the decision module draws. */
+    /** Makes the random sequence used here differ from that of the decision module, which has the same configured seed. */
     private static final long SEED = 0x746965726d656d62L;
-    /** Of two routers neither can tell whether the other is gone or only not heard: the ring's own rule holds there. */
+    /**
+     * Minimum number of routers for which the decision module is informed. Of two routers, neither can tell whether the other has failed or
+     * is only unreachable, so the decision module's own rule for ring neighbours applies.
+     */
     private static final int LEAST_ROUTERS = 3;
 
     private final Features.Tier settings;
@@ -45,16 +52,16 @@
     private Consumer<Change> observer = change -> {};
     private final Map<Integer, Sight> sights = new HashMap<>();
     private Trust trust = Trust.FULL;
-    /** Null while another process of this router speaks for it. */
+    /** Null before the start and while another process acts for this router. */
     private Peers peers;
 
     private Members members;
     private boolean changed;
     private String lastChange = "none";
-    /** From the last message of the one that was declared failed last until that was known here; 0 for none. */
+    /** Detection time of the latest failure: from the last message of the failed member until the failure was known here; 0 for none. */
     private long detectNanos;
 
-    /** Prepares it; it says nothing before it talks. */
+    /** Creates a stopped instance, which sends nothing until {@link #talk} is called. */
     public Tier(Features.Tier settings, NodeConfig config, Loop loop, Consumer<Event> decision) {
         this.settings = settings;
         this.config = config;
@@ -62,12 +69,16 @@
         this.decision = decision;
     }
 
-    /** Tells of each change of this router's view, too, from now on. */
+    /** Sets the observer of each further change of this router's membership view, in addition to the log. */
     public void observe(Consumer<Change> told) {
         observer = told;
     }
 
-    /** Begins a life, by these datagrams; null to fall silent without a word, as another process of this router goes on. */
+    /**
+     * Joins the tier as a newly started member, or stops without notice.
+     *
+     * @param by sends and receives the datagrams; null to stop because another process takes over this router
+     */
     public void talk(Peers by) {
         peers = by;
         members = null;
@@ -141,7 +152,7 @@
         observer.accept(change);
     }
 
-    /** Tells the decision module what its ring needs to know. */
+    /** Informs the decision module about changes of the ring neighbours' state and of the trust in this view. */
     private void tell() {
         int routers = config.settings().routers();
         if (!changed || routers < LEAST_ROUTERS) {
@@ -156,7 +167,7 @@
         };
         Map<Integer, Sight> seen = new HashMap<>();
         for (MemberView member : members.view()) {
-            // Of several by one number the one that is there.
+            // Several members may have the same number; the number counts as present if any of them is.
             seen.merge(
                     member.number(),
                     member.state().isGone() ? Sight.GONE : Sight.THERE,
@@ -172,17 +183,17 @@
         trust = now;
     }
 
-    /** The numbers of the routers that are there, this one among them. */
+    /** Returns the numbers of the routers that are present, including this one. */
     public Set<Integer> present() {
         return members == null ? Set.of(config.settings().me()) : members.numbers();
     }
 
-    /** Whether it trusts that. */
+    /** Returns whether {@link #present} is reliable, that is, no local health issue casts doubt on this router's view. */
     public boolean isTrusted() {
         return members != null && members.doubt() == LocalHealthIssue.NONE;
     }
 
-    /** It ends, and says so. */
+    /** Leaves the tier and announces it to the other members. */
     public void leave() {
         if (members != null) {
             members.leave(loop.now());
@@ -198,7 +209,7 @@
                         .count();
     }
 
-    /** Adds its figures. */
+    /** Registers the membership metrics. */
     public void count(Counts counts) {
         counts.gauge("tier_alive", () -> members == null ? 0 : 1 + count(State.ALIVE))
                 .gauge("tier_suspect", () -> count(State.SUSPECT))
@@ -217,7 +228,7 @@
         }
     }
 
-    /** All that is known, for operators. */
+    /** Returns this router's membership view for operators. */
     public JSONObject json() {
         if (members == null) {
             return new JSONObject().put("name", config.name()).put("talks", false);
@@ -261,7 +272,7 @@
                 .put("not_heard", new JSONArray(silent()));
     }
 
-    /** The names of those that it watches and hears nothing of. */
+    /** Returns the names of the members that this router monitors and has received nothing from. */
     private List<String> silent() {
         List<String> silent = new ArrayList<>();
         for (MemberView one : members.view()) {
--- a/src/main/java/slateseam/router/tier/package-info.java
+++ b/src/main/java/slateseam/router/tier/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The tier of routers as one of them runs it: its members' view on the loop, the datagrams, what the decision module is told, and what
- * operators see.
+ * Runs the tier's membership and shared policy on a router's event loop: sends and receives their datagrams, informs the decision
+ * module, and reports their state to operators.
  *
- * <p>It may use the tier's modules, configuration, datagrams, network. The router puts it together.
+ * <p>The package may use the tier's modules, the configuration, the peer datagrams and the network. The router assembles its classes.
  */
 package slateseam.router.tier;
--- a/src/main/java/slateseam/tier/agreement/Admission.java
+++ b/src/main/java/slateseam/tier/agreement/Admission.java
@@ -7,16 +7,19 @@
 import java.util.Set;
 import java.util.stream.Stream;
 
-/** Which changes of who votes the leader makes, one at a time: those without their memory go, those that are wanted come. */
+/**
+ * Decides on the membership changes of a Raft group, which the leader makes one voter at a time: removes voters that have lost their
+ * durable state, adds configured routers, and then removes voters that are not configured.
+ */
 public final class Admission {
     private Admission() {}
 
     /**
-     * Looks whether a change is due; to be called now and then.
+     * Proposes the next membership change if the local node is the leader and a change is due. Called periodically.
      *
-     * @param wanted the routers that are to vote
-     * @param memories the memory of each router that is there, as it said last
-     * @return what was changed, for the log; null if nothing was
+     * @param wanted numbers of the routers that are configured to vote
+     * @param memories for each reachable router, the identifier of its durable state as last reported
+     * @return the log text of the proposed change, or null if none was proposed
      */
     public static String look(Raft raft, Set<Integer> wanted, Map<Integer, Long> memories) {
         if (raft.role() != Raft.Role.LEADER) {
@@ -30,7 +33,8 @@
                 .sorted()
                 .toList();
         raft.join(coming);
-        // Guards against a late word of an old memory: the one that has the seat is heard.
+        // A voter that still answers keeps its seat: a delayed report about the router's earlier durable state must not
+        // remove it.
         String left = without(
                 raft,
                 seats.stream()
@@ -47,12 +51,14 @@
                 return raft.change(more) ? "seat-taken seat=" + seat : null;
             }
         }
-        // Those that are wanted no longer go once the others are in, so that there are never fewer than need be.
+        // Voters that are no longer configured leave only after all configured ones have joined, so that the group is
+        // never
+        // smaller than necessary.
         boolean allIn = seats.stream().map(Voter::router).toList().containsAll(wanted);
         return allIn ? without(raft, seats.stream().filter(seat -> !wanted.contains(seat.router()))) : null;
     }
 
-    /** The one that leads goes last: it has to see the others' changes through. */
+    /** Proposes to remove the first of the given voters. The leader is removed last, because it has to commit the other removals. */
     private static String without(Raft raft, Stream<Voter> going) {
         Voter first = going.min(Comparator.comparing((Voter seat) -> seat.equals(raft.self()))
                         .thenComparing(Voter::compareTo))
--- a/src/main/java/slateseam/tier/agreement/DurableState.java
+++ b/src/main/java/slateseam/tier/agreement/DurableState.java
@@ -3,24 +3,34 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What one who votes must never forget: its seat, term and vote, and its log from a snapshot on. */
+/**
+ * The state of a Raft voter that must survive restarts: its group and identity, its current term and vote, the latest snapshot, and the
+ * log entries after the snapshot. All modifications are {@link Change} records, which are written to stable storage and replayed from it.
+ */
 public final class DurableState {
-    /** One change of it; whoever applies all in their order has the same. */
+    /** One modification. Applying the same changes in the same order gives the same state. */
     public sealed interface Change {}
 
-    /** A memory begins, or comes into a group. */
+    /** Initialises the state of a voter, or makes the voter a member of a group; group 0 stands for no group. */
     public record Begin(long group, Voter seat) implements Change {}
 
-    /** A term, and for whom the vote in it is; null while it is for nobody. */
+    /** Sets the current term and the candidate voted for in that term; the vote is null if none was given. */
     public record Term(long term, Voter vote) implements Change {}
 
-    /** An entry at the end of the log. */
+    /** Appends an entry at the end of the log. */
     public record Append(long index, Entry entry) implements Change {}
 
-    /** From this entry on the log is void. */
+    /** Removes this entry and all later ones from the log. */
     public record Cut(long index) implements Change {}
 
-    /** What all entries up to this one came to, in their place. */
+    /**
+     * Replaces the log up to and including the given index by the state that results from its entries.
+     *
+     * @param index index of the last entry that the snapshot covers
+     * @param term term of that entry
+     * @param seats voters of the group as of that entry
+     * @param state serialised state of the replicated state machine
+     */
     public record Snapshot(long index, long term, List<Voter> seats, byte[] state) implements Change {}
 
     private long group;
@@ -33,7 +43,7 @@
     private byte[] baseState = new byte[0];
     private List<Entry> entries = new ArrayList<>();
 
-    /** Takes a change. */
+    /** Applies a change. */
     public void apply(Change change) {
         if (change instanceof Begin c) {
             group = c.group;
@@ -43,7 +53,7 @@
             vote = c.vote;
         } else if (change instanceof Append c) {
             if (c.index != lastIndex() + 1) {
-                throw new IllegalStateException("entry " + c.index + " behind " + lastIndex());
+                throw new IllegalStateException("entry " + c.index + " does not follow the last entry " + lastIndex());
             }
             entries.add(c.entry);
         } else if (change instanceof Cut c) {
@@ -64,7 +74,7 @@
         return group;
     }
 
-    /** Whose memory this is; null while it has not begun. */
+    /** Returns the voter that this state belongs to, or null before the first {@link Begin}. */
     public Voter seat() {
         return seat;
     }
@@ -101,7 +111,7 @@
         return termAt(lastIndex());
     }
 
-    /** The term of an entry; -1 for one that is not there. */
+    /** Returns the term of an entry, or -1 if the entry is neither in the log nor the last one of the snapshot. */
     long termAt(long index) {
         return index == baseIndex
                 ? baseTerm
@@ -112,13 +122,13 @@
         return entries.get((int) (index - baseIndex - 1));
     }
 
-    /** Who votes by the newest entry that says so, committed or not. */
+    /** Returns the voters according to the latest membership entry, committed or not. */
     List<Voter> seats() {
         long at = seatsAt();
         return at == baseIndex ? baseSeats : Voter.all(entry(at).body());
     }
 
-    /** The entry that says so; the snapshot's if none does. */
+    /** Returns the index of the latest membership entry, or that of the snapshot if the log holds none. */
     long seatsAt() {
         for (long i = lastIndex(); i > baseIndex; i--) {
             if (entry(i).kind() == Entry.Kind.SEATS) {
@@ -128,7 +138,7 @@
         return baseIndex;
     }
 
-    /** The same as of an entry. */
+    /** Returns the voters according to the latest membership entry at or before an index. */
     List<Voter> seatsAsOf(long index) {
         for (long i = index; i > baseIndex; i--) {
             if (entry(i).kind() == Entry.Kind.SEATS) {
--- a/src/main/java/slateseam/tier/agreement/Entry.java
+++ b/src/main/java/slateseam/tier/agreement/Entry.java
@@ -3,30 +3,34 @@
 import java.nio.ByteBuffer;
 
 /**
- * An entry of the log.
+ * An entry of the replicated log.
  *
- * @param term of the leader that wrote it
+ * @param term term of the leader that created the entry
+ * @param kind how the body is to be read
+ * @param body content, at most {@link #MOST_BODY} bytes
  */
 public record Entry(long term, Kind kind, byte[] body) {
-    /** So that one goes into a datagram beside all else. */
+    /** Maximum length of a body in bytes, such that an entry fits into one datagram together with all headers. */
     public static final int MOST_BODY = 150;
 
+    /** Encoded length in bytes of the fields before the body. */
     static final int HEAD_BYTES = Long.BYTES + 2;
 
-    /** What an entry is for. */
+    /** Purpose of an entry. */
     public enum Kind {
-        /** A leader's first, by which it learns what is committed. */
+        /** The empty entry that a new leader appends first; committing it tells the leader which entries are committed. */
         NOTHING,
-        /** Who votes from here on. */
+        /** The voters of the group from this entry on. */
         SEATS,
-        /** What the log is for. */
+        /** A command to the replicated state machine. */
         COMMAND
     }
 
-    /** Checks its size. */
+    /** Rejects bodies that are too long. */
     public Entry {
         if (body.length > MOST_BODY) {
-            throw new IllegalArgumentException("an entry of " + body.length + " bytes, over " + MOST_BODY);
+            throw new IllegalArgumentException(
+                    "entry body of " + body.length + " bytes exceeds the limit of " + MOST_BODY);
         }
     }
 
--- a/src/main/java/slateseam/tier/agreement/Leadership.java
+++ b/src/main/java/slateseam/tier/agreement/Leadership.java
@@ -10,43 +10,51 @@
 import java.util.TreeMap;
 import java.util.function.ToLongFunction;
 
-/** What a leader knows of those that follow it: how far each has the log, and which of its rounds each has answered. */
+/**
+ * Replication state that a leader keeps for its followers: up to which index each has the log, and which heartbeat round each has
+ * answered last. A round is one broadcast of AppendEntries messages to all followers.
+ */
 final class Leadership {
+    /** Maximum number of rounds whose send time is kept. */
     private static final int MOST_ROUNDS = 256;
 
-    /** One follower, or one that is to become one. */
+    /** Replication state of one follower or of one router that is about to become a voter. */
     static final class Progress {
+        /** Index of the next entry to send. */
         long next;
+        /** Highest index up to which the follower is known to have the leader's log. */
         long match;
-        /** The round in which it said so last. */
+        /** The latest round in which the follower confirmed a matching log. */
         long matchRound;
-        /** Whether it is being found out up to where it has the log: then one message at a time is under way. */
+        /** Whether the leader is still searching for the last index at which the logs agree; it then sends one message at a time. */
         boolean probing = true;
 
+        /** The latest round that the follower has answered, with a matching log or not. */
         long answeredRound;
+        /** Time in nanoseconds of the latest answer. */
         long answeredAt;
 
         Progress(long next, long now) {
             this.next = next;
-            this.answeredAt = now; // it gets the time of an election to answer
+            this.answeredAt = now; // gives a new follower one election timeout to answer
         }
     }
 
     private final Voter self;
     private final Map<Voter, Progress> progress = new HashMap<>();
-    /** When each of the last rounds was sent. */
+    /** Send time of each recent round, by round number. */
     private final TreeMap<Long, Long> sent = new TreeMap<>();
 
     private List<Voter> joining = List.of();
     private long round;
-    /** The first round after an entry of its own term was committed: before that it may not know what is. */
+    /** The first round after an entry of the leader's own term was committed; earlier the leader may not know the commit index. */
     private long readyRound = Long.MAX_VALUE;
 
     Leadership(Voter self) {
         this.self = self;
     }
 
-    /** A round begins; its number. */
+    /** Starts a new round and returns its number. */
     long begin(long now) {
         sent.put(++round, now);
         if (sent.size() > MOST_ROUNDS) {
@@ -63,7 +71,7 @@
         joining = List.copyOf(seats);
     }
 
-    /** All that it sends to: those that vote, and those that are to. */
+    /** Returns all receivers of the log: the other voters and the routers that are about to become voters. */
     List<Voter> followers(List<Voter> seats) {
         Map<Voter, Voter> all = new LinkedHashMap<>();
         seats.forEach(seat -> all.put(seat, seat));
@@ -77,7 +85,7 @@
         return progress.computeIfAbsent(seat, s -> new Progress(lastIndex + 1, now));
     }
 
-    /** Null for one that it does not send to. */
+    /** Returns the state of a follower, or null if the leader does not replicate to it. */
     Progress find(Voter seat) {
         return progress.get(seat);
     }
@@ -90,7 +98,7 @@
         return readyRound != Long.MAX_VALUE;
     }
 
-    /** The greatest figure that a majority has reached. */
+    /** Returns the greatest value that a majority of the voters has reached, with {@code own} as the value of the leader itself. */
     private long ofMajority(List<Voter> seats, long own, ToLongFunction<Progress> figure) {
         List<Long> all = new ArrayList<>();
         for (Voter seat : seats) {
@@ -101,17 +109,20 @@
         return all.get(all.size() / 2);
     }
 
-    /** Up to where a majority has the log. */
+    /** Returns the highest index up to which a majority has the log. */
     long matched(List<Voter> seats, long own) {
         return ofMajority(seats, own, one -> one.match);
     }
 
-    /** Whether a majority has answered since then. */
+    /** Returns whether a majority has answered since the given time (check-quorum). */
     boolean isHeard(List<Voter> seats, long now, long since) {
         return ofMajority(seats, now, one -> one.answeredAt) >= since;
     }
 
-    /** When the newest round was sent that a majority has answered; -1 while that proves nothing. */
+    /**
+     * Returns the send time of the latest round that a majority has answered: at that time no other leader had been elected. Returns -1
+     * if no such round is known or the leader does not know the commit index yet.
+     */
     long provenAt(List<Voter> seats) {
         long answered = ofMajority(seats, round, one -> one.answeredRound);
         return answered >= readyRound ? sent.getOrDefault(answered, -1L) : -1;
--- a/src/main/java/slateseam/tier/agreement/Raft.java
+++ b/src/main/java/slateseam/tier/agreement/Raft.java
@@ -21,39 +21,41 @@
 import slateseam.tier.agreement.Rpc.Vote;
 
 /**
- * One of those who agree on a log (Raft, Ongaro 2014: with pre-vote, check-quorum, snapshots, and changes of who votes one at a time).
- * It is told the time, messages and what has come onto the disk, and tells its {@link RaftPort} what to do. Not thread-safe. The same
- * memory, source of chance and calls give the same actions.
+ * A Raft node (Ongaro 2014, with pre-vote, check-quorum, snapshots, and single-server membership changes). The caller passes in the
+ * time, messages, and the completion of disk writes; the node performs its actions through a {@link RaftPort}. Not thread-safe.
+ * Deterministic: the same durable state, random source and calls give the same actions.
  */
 public final class Raft {
-    /** What it is at present. */
+    /** State of a node in the protocol. */
     public enum Role {
-        /** It has no seat: it is sent the log at most. */
+        /** Not a voter; at most receives the log. */
         LEARNER,
-        /** It has read its memory from a disk and asks the others whether that is all. */
+        /** Has read its state from disk and asks the other voters whether it is complete; does not vote yet. */
         UNSURE,
-        /** It follows a leader, or waits for one. */
+        /** Follows a leader or waits for one. */
         FOLLOWER,
-        /** It asks whether it would be elected. */
+        /** Runs a pre-vote: asks whether it would be elected. */
         PRE_CANDIDATE,
-        /** It asks to be elected. */
+        /** Requests votes. */
         CANDIDATE,
-        /** It leads. */
+        /** Leads the group in the current term. */
         LEADER,
-        /** Its memory is less than it once said: it says nothing more. */
+        /** Has lost state that it had confirmed to others; takes no further part in the protocol. */
         LOST
     }
 
+    /** Maximum number of messages that wait for the disk; the oldest are dropped, which the protocol treats as lost messages. */
     private static final int MOST_HELD = 256;
-    /** Entries under way to one follower. */
+    /** Maximum number of unacknowledged entries sent to one follower. */
     private static final int MOST_UNDER_WAY = 64;
 
+    /** Heartbeat intervals that a restarted node waits for all voters to answer its {@link Recall}; then a majority is enough. */
     private static final int RECALL_PERIODS = 20;
 
-    /** Waits for the disk. */
+    /** A message that is sent once the change with the given number is durable. */
     private record Held(long number, Voter to, Rpc message) {}
 
-    /** What was had from one who votes: its latest term, and up to where it said in that term that it has the log. */
+    /** The latest term of a message from another voter, and the highest log index that the voter confirmed in that term. */
     private record Seen(long term, long match) {
         Seen and(Seen later) {
             return later.term == term ? new Seen(term, Math.max(match, later.match)) : later.term > term ? later : this;
@@ -68,7 +70,7 @@
     private final Set<Voter> votes = new HashSet<>();
     private final Set<Voter> recalled = new HashSet<>();
     private final Deque<Held> held = new ArrayDeque<>();
-    /** Entries on their way to the disk: the number of the change, the entry. */
+    /** Log entries being written to disk, as pairs of the number of the change and the index of the entry. */
     private final Deque<long[]> writing = new ArrayDeque<>();
 
     private List<Voter> seats;
@@ -89,10 +91,11 @@
     private boolean busy;
 
     /**
-     * Goes on with a memory.
+     * Creates a node from its durable state.
      *
-     * @param stable what it remembers; its seat at least
-     * @param fromDisk whether that was read from a disk, which may have forgotten some
+     * @param stable the durable state, which holds at least the voter's identity
+     * @param fromDisk whether the state was read from a disk, which may have lost recent writes
+     * @param now current time in nanoseconds on the clock that is later passed to {@link #tick}
      */
     public Raft(
             RaftSettings settings,
@@ -112,7 +115,8 @@
         applied = commit;
         seats = stable.seats();
         recallUntil = now + RECALL_PERIODS * settings.periodNanos();
-        // One that was to be taken in may have said that it had entries, too.
+        // A node that was not a voter yet is checked as well, because it may already have confirmed entries while it
+        // was joining.
         role = fromDisk && !others().isEmpty() ? Role.UNSURE : isSeated() ? Role.FOLLOWER : Role.LEARNER;
         if (applied > 0) {
             port.install(applied, stable.baseState());
@@ -120,15 +124,15 @@
         patient(now);
     }
 
-    /** Its own seat. */
+    /** Returns the voter identity of this node. */
     public Voter self() {
         return stable.seat();
     }
 
-    /** Begins a group of its own, in which it alone votes; only one that is in none can. */
+    /** Creates a group with this node as its only voter. Throws an exception if the node already belongs to one. */
     public void begin(long group) {
         if (stable.group() != 0) {
-            throw new IllegalStateException("it is in a group");
+            throw new IllegalStateException("this voter already belongs to a group");
         }
         enter();
         write(new DurableState.Begin(group, self()));
@@ -142,8 +146,8 @@
     }
 
     /**
-     * Whether it is one of those that vote, also where an entry that is not committed yet takes its seat away. Guards against a log that only
-     * one has that may not stand, and that keeps it from voting for those who lack it.
+     * Returns whether this node is a voter, also while the entry that removes it is not committed. Otherwise a group could be left without
+     * a leader: the only node with the longest log could not become a candidate, and would not vote for nodes whose logs lack the entry.
      */
     private boolean isSeated() {
         return seats.contains(self())
@@ -156,11 +160,12 @@
         deadline = from + settings.electionNanos() + (long) (random.nextDouble() * settings.electionNanos());
     }
 
+    /** Begins a call; write completions reported during the call are processed at its end. */
     private void enter() {
         busy = true;
     }
 
-    /** What the disk said meanwhile is taken up only now, so that nothing is called within itself. */
+    /** Ends a call and processes write completions reported during the call, which must not re-enter the node. */
     private void leave() {
         busy = false;
         lasts();
@@ -183,7 +188,7 @@
         port.persist(written, change);
     }
 
-    /** All changes up to this number are where they last. */
+    /** Reports that all changes up to and including this number are durable. */
     public void persisted(long number) {
         lasting = Math.max(lasting, number);
         if (!busy) {
@@ -206,7 +211,7 @@
         busy = false;
     }
 
-    /** Guards against an answer for what a power cut would make undone. */
+    /** Sends a message after all changes so far are durable, so that no answer confirms state that a power failure would undo. */
     private void sendOnceLasting(Voter to, Rpc message) {
         if (lasting >= written) {
             port.send(to, message);
@@ -222,7 +227,7 @@
         return new Head(stable.group(), self(), to, stable.term());
     }
 
-    /** Time goes on; to be called a few times each period. */
+    /** Advances the time and starts due actions. Must be called several times per heartbeat interval. */
     public void tick(long nanos) {
         long gap = nanos - lastTick;
         now = nanos;
@@ -232,7 +237,7 @@
         }
         enter();
         if (gap > settings.electionNanos() / 2 && role != Role.LEADER) {
-            patient(now); // it stood still itself: that is no leader's silence
+            patient(now); // the node itself was paused, so it cannot tell whether the leader was silent
         }
         if (role == Role.UNSURE) {
             recall();
@@ -307,7 +312,7 @@
         beat();
     }
 
-    /** Follows whoever leads in a term, or waits for one. */
+    /** Becomes a follower of the leader of a term, or of no leader yet if {@code whom} is null. */
     private void follow(long term, Voter whom) {
         if (term > stable.term()) {
             write(new DurableState.Term(term, null));
@@ -324,14 +329,14 @@
         for (Voter seat : leadership.followers(seats)) {
             Leadership.Progress one = leadership.of(seat, stable.lastIndex(), now);
             if (now - one.answeredAt > 2 * settings.periodNanos() && !one.probing) {
-                one.probing = true; // what was under way is lost
+                one.probing = true; // treats the messages in flight as lost
                 one.next = one.match + 1;
             }
             send(seat, one, true);
         }
     }
 
-    /** Sends what it lacks; a heartbeat even if it lacks nothing. */
+    /** Sends a follower the entries or the snapshot that it lacks; with {@code always}, at least one message (a heartbeat). */
     private void send(Voter to, Leadership.Progress one, boolean always) {
         boolean first = always;
         while (first || !one.probing && one.next <= stable.lastIndex() && one.next - 1 - one.match < MOST_UNDER_WAY) {
@@ -364,7 +369,7 @@
         }
     }
 
-    /** A message came. */
+    /** Processes a received message. */
     public void heard(long nanos, Rpc message) {
         now = nanos;
         Head head = message.head();
@@ -392,20 +397,24 @@
 
     private void recalled(Recalled r) {
         if (r.heardTerm() > stable.term() || r.heardTerm() == stable.term() && r.match() > stable.lastIndex()) {
-            lost("router " + r.head().from().router() + " had term " + r.heardTerm() + " and entry " + r.match()
-                    + " from it, its memory has term " + stable.term() + " and entry " + stable.lastIndex());
+            lost("router " + r.head().from().router() + " received term " + r.heardTerm() + " and entry " + r.match()
+                    + " from this voter, but its durable state has term " + stable.term() + " and entry "
+                    + stable.lastIndex());
         } else if (role == Role.UNSURE) {
             recalled.add(r.head().from());
         }
     }
 
-    /** Guards against waiting for ever for those that vote no longer: the others go on, and can take this one in anew. */
+    /**
+     * Gives up this voter identity if a leader is active but too few voters have answered whether this node's state is complete. Otherwise
+     * the node would wait forever for voters that have been removed; the group can add it again under a new identity.
+     */
     private void led(Rpc message) {
         boolean leads = message instanceof AppendEntries || message instanceof InstallSnapshot;
         if (leads
                 && message.head().term() >= stable.term()
                 && now > recallUntil + RECALL_PERIODS * settings.periodNanos()) {
-            lost("the others go on and those that it asks what they had from it are not there");
+            lost("the group has a leader, but too few voters confirmed that the durable state is complete");
         }
     }
 
@@ -436,7 +445,7 @@
         }
     }
 
-    /** Whether a leader was heard so lately that nobody else need be elected. */
+    /** Returns whether this node leads or has heard a leader within the election timeout, so that it refuses to vote. */
     private boolean isLed() {
         return settings.preVote() && (role == Role.LEADER || now - leaderHeardAt < settings.electionNanos());
     }
@@ -461,7 +470,7 @@
         }
         if (r.head().term() > stable.term()) {
             if (isLed()) {
-                return; // it did not hear the leader that this one hears
+                return; // the candidate does not hear the leader that this node hears
             }
             follow(r.head().term(), null);
         }
@@ -495,7 +504,7 @@
         }
     }
 
-    /** Whether a message of a leader counts; if so this one follows it. */
+    /** Follows the sender of a leader's message and returns true, or rejects the message of a leader of an earlier term. */
     private boolean isOfLeader(Rpc message) {
         Head head = message.head();
         if (head.term() < stable.term()) {
@@ -524,8 +533,8 @@
                 continue;
             }
             if (index <= commit) {
-                lost("entry " + index + " was committed here in term " + stable.termAt(index)
-                        + ", and the leader has it of term " + entry.term());
+                lost("entry " + index + " was committed here with term " + stable.termAt(index)
+                        + ", but the leader sent it with term " + entry.term());
                 return;
             }
             if (index <= stable.lastIndex()) {
@@ -579,11 +588,12 @@
             one.next = Math.max(one.next, one.match + 1);
             one.probing = false;
         } else {
-            // Guards against many messages for each that did not fit, each of which does not fit either.
+            // Sends one message at a time again. Otherwise each rejected message in flight would cause several new
+            // ones, which would be rejected as well.
             one.probing = true;
             one.next = Math.max(one.match + 1, Math.min(one.next - 1, r.match() + 1));
             if (r.match() < one.match && r.round() > one.matchRound) {
-                // It has forgotten what it said: it is told so, and gives its seat up.
+                // The follower has lost entries that it had confirmed. Tells it so, and it gives up its voter identity.
                 port.send(r.head().from(), new Recalled(head(r.head().from()), stable.term(), one.match));
             }
         }
@@ -593,7 +603,7 @@
         }
     }
 
-    /** Commits what a majority has, if it is of this term: what is of an earlier one is committed with it. */
+    /** Commits the entries that a majority has if the last of them is of the current term; earlier terms are committed with it. */
     private void advance() {
         long matched = leadership.matched(seats, lastingIndex);
         if (matched <= commit || stable.termAt(matched) != stable.term()) {
@@ -605,7 +615,7 @@
         if (!seats.contains(self()) && stable.seatsAt() <= commit) {
             follow(stable.term(), null);
         } else {
-            beat(); // so that all know at once
+            beat(); // announces the new commit index at once
         }
     }
 
@@ -619,7 +629,7 @@
         }
     }
 
-    /** Appends what is to be agreed on; its place in the log, or -1 for one that does not lead. */
+    /** Appends a command to the log; returns its index, or -1 if this node is not the leader. */
     public long propose(byte[] body) {
         if (role != Role.LEADER) {
             return -1;
@@ -632,7 +642,10 @@
         return index;
     }
 
-    /** Changes who votes, by one; false if it does not lead, or another change is not committed yet. */
+    /**
+     * Proposes a new set of voters, which must differ from the current one by exactly one voter. Returns false if the set is not valid,
+     * this node does not lead or does not know the commit index yet, or another membership change is not committed yet.
+     */
     public boolean change(List<Voter> to) {
         Set<Voter> differ = new HashSet<>(to);
         seats.forEach(seat -> {
@@ -656,61 +669,61 @@
         return true;
     }
 
-    /** The leader sends the log to these as well, so that they have it when they are to vote. */
+    /** Makes the leader replicate the log to these routers too, so that they have the log when they become voters. */
     public void join(Collection<Voter> some) {
         if (role == Role.LEADER) {
             leadership.join(some);
         }
     }
 
-    /** Whether one that joins has nearly all. */
+    /** Returns whether a joining router has nearly the whole log. */
     public boolean hasCaughtUp(Voter seat) {
         Leadership.Progress one = role == Role.LEADER ? leadership.find(seat) : null;
         return one != null && one.match > 0 && one.match + MOST_UNDER_WAY / 4 >= stable.lastIndex();
     }
 
-    /** Whether one that votes has not answered its leader for longer than messages are lost by chance. */
+    /** Returns whether a voter has not answered this leader for two election timeouts, longer than chance message loss explains. */
     public boolean isSilent(Voter seat) {
         Leadership.Progress one = role == Role.LEADER ? leadership.find(seat) : null;
         return one != null && now - one.answeredAt > 2 * settings.electionNanos();
     }
 
-    /** When it is known that all that was committed until then is known here; -1 for one that does not lead, or cannot know. */
+    /** Returns the latest time until which this leader provably knows all committed entries; -1 if it does not lead or cannot prove any. */
     public long provenAt() {
         return role == Role.LEADER ? leadership.provenAt(seats) : -1;
     }
 
-    /** What it is. */
+    /** Returns the current role. */
     public Role role() {
         return role;
     }
 
-    /** Whom it follows, itself if it leads; null while it knows nobody. */
+    /** Returns the current leader, which may be this node itself, or null if none is known. */
     public Voter leader() {
         return leader;
     }
 
-    /** The group; 0 for none. */
+    /** Returns the identifier of the group, or 0 if this node belongs to none. */
     public long group() {
         return stable.group();
     }
 
-    /** The term that it is in. */
+    /** Returns the current term. */
     public long term() {
         return stable.term();
     }
 
-    /** Up to where the log is committed, as far as it knows. */
+    /** Returns the highest index known to be committed. */
     public long commit() {
         return commit;
     }
 
-    /** Who votes, as far as it knows. */
+    /** Returns the voters according to the latest membership entry in this node's log, committed or not. */
     public List<Voter> seats() {
         return seats;
     }
 
-    /** All of it that decides what it does next but for times, to tell states apart where all are explored. */
+    /** Returns a text of all state, except times, that determines future actions. Tests that explore all states compare it. */
     String fingerprint() {
         StringBuilder text = new StringBuilder()
                 .append(role)
--- a/src/main/java/slateseam/tier/agreement/RaftPort.java
+++ b/src/main/java/slateseam/tier/agreement/RaftPort.java
@@ -1,31 +1,39 @@
 package slateseam.tier.agreement;
 
-/** What the log's protocol asks of whoever carries it. */
+/** Operations that {@link Raft} needs from its environment: transport, stable storage, and the replicated state machine. */
 public interface RaftPort {
-    /** Sends a message; it may be lost. */
+    /** Sends a message. Delivery is not guaranteed. */
     void send(Voter to, Rpc message);
 
     /**
-     * Writes a change to where it lasts, behind those before it. Once it is there, {@link Raft#persisted} is to be called with
-     * its number, at once or later.
+     * Writes a change to stable storage, after all earlier changes. Once the change is durable, the implementation must call
+     * {@link Raft#persisted} with its number, either during this call or later.
      */
     void persist(long number, DurableState.Change change);
 
-    /** An entry is committed; each is told once, in order. */
+    /** Applies a committed entry to the state machine. Called once for each entry, in the order of the log. */
     void apply(long index, Entry entry);
 
-    /** What all entries that were applied came to. */
+    /** Returns the serialised state of the state machine after all entries applied so far. */
     byte[] state();
 
-    /** Goes on from there, whatever was applied before. */
+    /** Replaces the state of the state machine by a snapshot taken at an index, whatever was applied before. */
     void install(long index, byte[] state);
 
-    /** The state of this hash; null while it is not here, and then it is to be got from that router. */
+    /**
+     * Returns the snapshot with a hash, or null if it is not available locally yet; the implementation then fetches it.
+     *
+     * @param length length of the snapshot in bytes
+     * @param from number of the router to fetch the snapshot from
+     */
     byte[] content(byte[] hash, int length, int from);
 
-    /** The hash of a state, under which others get it here. */
+    /** Makes a snapshot available for other routers to fetch and returns its hash. */
     byte[] offer(byte[] state);
 
-    /** What this one has of its memory is less than it once said: it must not go on as the same seat. */
+    /**
+     * Reports that the durable state lacks something that this voter has already confirmed to others, so that the router must not go on
+     * under the same voter identity.
+     */
     void memoryLost(String why);
 }
--- a/src/main/java/slateseam/tier/agreement/Rpc.java
+++ b/src/main/java/slateseam/tier/agreement/Rpc.java
@@ -7,55 +7,91 @@
 import java.util.zip.CRC32C;
 
 /**
- * A message between two who vote, or are to; a datagram of at most 256 bytes.
+ * A message between two voters, or between the leader and a router that is about to become a voter. Each message is sent as one datagram
+ * of at most 256 bytes.
  *
  * <pre>
  * 0  magic 0xB8      1  version 1      2  kind      3  zero
- * 4  CRC-32C of all that follows byte 8
+ * 4  CRC-32C of all bytes from byte 8 on
  * 8  group          16 from           26 to          36 term
- * 44 the kind's own fields
+ * 44 fields of the message kind
  * </pre>
  */
 public sealed interface Rpc {
-    /** The first byte of all, by which they are told from other datagrams. */
+    /** First byte of each message, which distinguishes these messages from other datagrams. */
     byte MAGIC = (byte) 0xb8;
-    /** Of a datagram. */
+    /** Maximum length of a datagram in bytes. */
     int MOST_BYTES = 256;
-    /** Before the kind's own fields. */
+    /** Length in bytes of the common header before the fields of the message kind. */
     int HEAD_BYTES = 44;
-    /** Room for entries in one message. */
+    /** Bytes that the entries of one message may occupy in total. */
     int ENTRY_ROOM = MOST_BYTES - HEAD_BYTES - 4 * Long.BYTES - 1;
 
-    /** Which group of voters it is of, who sent it, to whom, and in which term. */
+    /**
+     * Header that all messages have in common.
+     *
+     * @param group identifier of the Raft group
+     * @param term current term of the sender; in a pre-vote request or a granted pre-vote, the term of the election that may follow
+     */
     record Head(long group, Voter from, Voter to, long term) {}
 
-    /** What all have. */
+    /** Returns the common header. */
     Head head();
 
-    /** Asks for a vote, or whether one would be given. */
+    /** Asks for a vote or, with {@code pre}, whether the receiver would vote for the sender. */
     record RequestVote(Head head, boolean pre, long lastIndex, long lastTerm) implements Rpc {}
 
-    /** Gives it or not. */
+    /** Answers a {@link RequestVote}. */
     record Vote(Head head, boolean pre, boolean granted) implements Rpc {}
 
-    /** Entries behind one that the receiver must have; none for a heartbeat. */
+    /**
+     * Replicates the entries that follow a previous entry, which the receiver must already have; without entries it is a heartbeat.
+     *
+     * @param previousIndex index of the entry before the first one sent
+     * @param previousTerm term of that entry
+     * @param commit commit index of the leader
+     * @param round the leader's heartbeat round, returned in the answer
+     */
     record AppendEntries(Head head, long previousIndex, long previousTerm, long commit, long round, List<Entry> entries)
             implements Rpc {}
 
-    /** Whether that fitted, and up to where the receiver has what the leader has, or may have. */
+    /**
+     * Answers {@link AppendEntries} and {@link InstallSnapshot}.
+     *
+     * @param fitted whether the receiver's log matched or the snapshot is installed
+     * @param match if {@code fitted}, the highest index up to which the receiver's log equals the leader's; otherwise the highest index up
+     *     to which both may be equal
+     * @param round round of the message that is answered
+     */
     record Appended(Head head, boolean fitted, long match, long round) implements Rpc {}
 
-    /** Entries up to this one are no longer there: what they came to is, by its hash. */
+    /**
+     * Tells a follower that the entries up to an index have been replaced by a snapshot, which is to be fetched by its hash.
+     *
+     * @param index index of the last entry that the snapshot covers
+     * @param lastTerm term of that entry
+     * @param round the leader's heartbeat round, returned in the answer
+     * @param length length of the snapshot in bytes
+     * @param seats voters of the group as of that entry
+     */
     record InstallSnapshot(Head head, long index, long lastTerm, long round, byte[] hash, int length, List<Voter> seats)
             implements Rpc {}
 
-    /** One who read its memory from a disk asks what was had from it last. */
+    /**
+     * Asks the other voters what the sender has confirmed to them. A voter sends this request after it has read its state from disk, to
+     * detect that the disk has lost writes.
+     */
     record Recall(Head head) implements Rpc {}
 
-    /** That: the latest term in which it said anything, and up to where it said that it had the log. */
+    /**
+     * Answers a {@link Recall}.
+     *
+     * @param heardTerm the latest term of a message from the voter that asks
+     * @param match the highest log index that the voter that asks confirmed in that term
+     */
     record Recalled(Head head, long heardTerm, long match) implements Rpc {}
 
-    /** As a datagram. */
+    /** Encodes the message as a datagram. */
     default byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(MOST_BYTES);
         out.put(MAGIC).put((byte) 1).put((byte) kind()).put((byte) 0).putInt(0).putLong(head().group());
@@ -110,7 +146,7 @@
         return (int) sum.getValue();
     }
 
-    /** Reads a datagram; null for what is none of these, or is damaged. */
+    /** Decodes a datagram; returns null if the datagram is not such a message or is damaged. */
     static Rpc decode(byte[] bytes) {
         if (bytes.length < HEAD_BYTES
                 || bytes.length > MOST_BYTES
--- a/src/main/java/slateseam/tier/agreement/Voter.java
+++ b/src/main/java/slateseam/tier/agreement/Voter.java
@@ -6,14 +6,16 @@
 import java.util.List;
 
 /**
- * One who votes: a router with one memory. A router that has lost its memory, or cannot be sure of it, is another one.
+ * Identity of a voter: a router together with one instance of its durable state. A router that has lost its durable state, or cannot
+ * rely on that state, takes part as a different voter.
  *
- * @param router its number
- * @param memory drawn when the memory began, never 0
+ * @param router number of the router
+ * @param memory random identifier drawn when the durable state was created, never 0
  */
 public record Voter(int router, long memory) implements Comparable<Voter> {
+    /** Encoded length in bytes. */
     static final int BYTES = Short.BYTES + Long.BYTES;
-    /** As many vote at the most. */
+    /** Maximum number of voters in a group. */
     public static final int MOST = 7;
 
     void put(ByteBuffer out) {
--- a/src/main/java/slateseam/tier/agreement/package-info.java
+++ b/src/main/java/slateseam/tier/agreement/package-info.java
@@ -1,7 +1,8 @@
 /**
- * A log that a few routers of the tier agree on, by Raft: votes, entries, changes of who votes, and what of it must last. It does no
- * I/O and knows no clock: it is told messages, the time, and what has come onto the disk.
+ * A log that a few routers of the tier replicate by Raft: elections, log replication, membership changes, snapshots, and the durable
+ * state. The package performs no I/O and reads no clock: its caller passes in messages, the time, and the completion of disk writes.
  *
- * <p>It uses nothing of the program. What its entries mean is the matter of slateseam.tier.policy. The design note is docs/design/policy.md.
+ * <p>The package depends on no other package of the program. The commands in the log are defined by slateseam.tier.policy. The design
+ * note is docs/design/policy.md.
  */
 package slateseam.tier.agreement;
--- a/src/test/java/slateseam/tier/agreement/RaftExplorationTest.java
+++ b/src/test/java/slateseam/tier/agreement/RaftExplorationTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Three who vote, two elections, two proposals, a restart with what was on the disk: every order in which messages come, or
- * never come, up to a depth. No two lead in a term, nobody applies another entry in a place than somebody else did.
+ * Explores the orders in which the messages of three voters are delivered or lost, up to a depth, with at most two elections, two
+ * proposals, and one restart from disk. No term may have two leaders, and no two voters may apply different entries at the same index.
  */
 class RaftExplorationTest {
     private static final int VOTERS = 3;
@@ -27,10 +27,15 @@
     private static final int BEATS = 1;
     private static final int MOST_UNDER_WAY = 5;
 
-    /** What happened: a message came, or something befell a router. */
+    /**
+     * One step of an execution.
+     *
+     * @param kind 0 delivers a message, 1 lets the election timeout pass, 2 proposes a command, 3 restarts from disk, 4 sends a heartbeat
+     * @param at position of the message in flight for kind 0, otherwise the router
+     */
     private record Step(int kind, int at) {}
 
-    /** A small world in which a path of steps is played from the beginning. */
+    /** Three routers and the messages between them, on which a path of steps is executed from the initial state. */
     private static final class Play {
         final Raft[] rafts = new Raft[VOTERS];
         final List<List<DurableState.Change>> disks = new ArrayList<>();
@@ -126,7 +131,8 @@
                     clocks[at] += 2 * SETTINGS.electionNanos();
                     rafts[at].tick(clocks[at]);
                     rafts[at].tick(clocks[at]);
-                    if (rafts[at].role() == Raft.Role.FOLLOWER) { // the pause itself was not the others' silence
+                    // The first ticks count as a pause of this router, not as a silent leader.
+                    if (rafts[at].role() == Raft.Role.FOLLOWER) {
                         clocks[at] += 2 * SETTINGS.electionNanos();
                         for (long t = clocks[at] - 2 * SETTINGS.electionNanos(); t <= clocks[at]; t += 200) {
                             rafts[at].tick(t);
@@ -136,7 +142,7 @@
                 case 2 -> rafts[at].propose(new byte[] {(byte) counts[2]});
                 case 3 -> {
                     start(at, true);
-                    // The others answer at once what they had from it, so that it goes on.
+                    // The other voters answer the recall request at once, so that the restarted one continues.
                     for (int other = 0; other < VOTERS; other++) {
                         if (other != at) {
                             rafts[at].heard(
@@ -170,7 +176,8 @@
             }
             for (int i = 0; i < VOTERS; i++) {
                 boolean leads = rafts[i].role() == Raft.Role.LEADER;
-                if (!leads && counts[1] < ELECTIONS && (counts[1] > 0 || i == 0)) { // all are alike at first
+                // All routers are equivalent before the first election.
+                if (!leads && counts[1] < ELECTIONS && (counts[1] > 0 || i == 0)) {
                     steps.add(new Step(1, i));
                 }
                 if (leads && counts[2] < PROPOSALS) {
@@ -186,7 +193,7 @@
             return steps;
         }
 
-        /** States that are alike go on alike: messages under way count without their order. */
+        /** Returns a key of the state. States with equal keys have the same continuations; the order of messages in flight is ignored. */
         String key() {
             StringBuilder text = new StringBuilder(Arrays.toString(counts)).append(all);
             for (Raft raft : rafts) {
@@ -200,7 +207,7 @@
         }
     }
 
-    /** All states up to a depth or a number; the first path on which something breaks, or how many states there were. */
+    /** Explores breadth-first up to a depth or number of states; returns the first path that violates a rule, or the number of states. */
     private static String explore(int depth, int most) {
         Deque<List<Step>> open = new ArrayDeque<>(List.of(List.of()));
         Set<Long> seen = new HashSet<>();
@@ -228,7 +235,7 @@
                 + (open.isEmpty() ? "" : ", " + open.size() + " open");
     }
 
-    /** Far deeper, but not every path: each is drawn. */
+    /** Follows random paths, which are far longer than those of the exhaustive exploration. */
     private static String walk(int walks, int depth) {
         java.util.SplittableRandom random = new java.util.SplittableRandom(1);
         for (int i = 0; i < walks; i++) {
