--- a/src/main/java/slateseam/tier/agreement/Admission.java
+++ b/src/main/java/slateseam/tier/agreement/Admission.java
@@ -26,48 +26,48 @@
             return null;
         }
         List<Voter> seats = raft.seats();
-        List<Voter> coming = wanted.stream()
+        List<Voter> joining = wanted.stream()
                 .filter(memories::containsKey)
                 .map(router -> new Voter(router, memories.get(router)))
                 .filter(seat -> !seats.contains(seat))
                 .sorted()
                 .toList();
-        raft.join(coming);
+        raft.join(joining);
         // A voter that still answers keeps its seat: a delayed report about the router's earlier durable state must not
         // remove it.
-        String left = without(
+        String removed = remove(
                 raft,
                 seats.stream()
                         .filter(seat -> raft.isSilent(seat)
                                 && memories.getOrDefault(seat.router(), seat.memory()) != seat.memory()));
-        if (left != null) {
-            return left;
+        if (removed != null) {
+            return removed;
         }
-        for (Voter seat : coming) {
-            boolean hasOld = seats.stream().anyMatch(old -> old.router() == seat.router());
-            if (!hasOld && raft.hasCaughtUp(seat) && seats.size() < Voter.MOST) {
-                List<Voter> more = new ArrayList<>(seats);
-                more.add(seat);
-                return raft.change(more) ? "seat-taken seat=" + seat : null;
+        for (Voter seat : joining) {
+            boolean hasEarlier = seats.stream().anyMatch(earlier -> earlier.router() == seat.router());
+            if (!hasEarlier && raft.hasCaughtUp(seat) && seats.size() < Voter.MOST) {
+                List<Voter> added = new ArrayList<>(seats);
+                added.add(seat);
+                return raft.change(added) ? "seat-taken seat=" + seat : null;
             }
         }
         // Voters that are no longer configured leave only after all configured ones have joined, so that the group is
         // never
         // smaller than necessary.
-        boolean allIn = seats.stream().map(Voter::router).toList().containsAll(wanted);
-        return allIn ? without(raft, seats.stream().filter(seat -> !wanted.contains(seat.router()))) : null;
+        boolean allJoined = seats.stream().map(Voter::router).toList().containsAll(wanted);
+        return allJoined ? remove(raft, seats.stream().filter(seat -> !wanted.contains(seat.router()))) : null;
     }
 
     /** Proposes to remove the first of the given voters. The leader is removed last, because it has to commit the other removals. */
-    private static String without(Raft raft, Stream<Voter> going) {
-        Voter first = going.min(Comparator.comparing((Voter seat) -> seat.equals(raft.self()))
+    private static String remove(Raft raft, Stream<Voter> leaving) {
+        Voter first = leaving.min(Comparator.comparing((Voter seat) -> seat.equals(raft.self()))
                         .thenComparing(Voter::compareTo))
                 .orElse(null);
         if (first == null || raft.seats().size() == 1) {
             return null;
         }
-        List<Voter> fewer = new ArrayList<>(raft.seats());
-        fewer.remove(first);
-        return raft.change(fewer) ? "seat-left seat=" + first : null;
+        List<Voter> remaining = new ArrayList<>(raft.seats());
+        remaining.remove(first);
+        return raft.change(remaining) ? "seat-left seat=" + first : null;
     }
 }
--- a/src/main/java/slateseam/tier/agreement/DurableState.java
+++ b/src/main/java/slateseam/tier/agreement/DurableState.java
@@ -21,7 +21,7 @@
     public record Append(long index, Entry entry) implements Change {}
 
     /** Removes this entry and all later ones from the log. */
-    public record Cut(long index) implements Change {}
+    public record Truncate(long index) implements Change {}
 
     /**
      * Replaces the log up to and including the given index by the state that results from its entries.
@@ -37,10 +37,10 @@
     private Voter seat;
     private long term;
     private Voter vote;
-    private long baseIndex;
-    private long baseTerm;
-    private List<Voter> baseSeats = List.of();
-    private byte[] baseState = new byte[0];
+    private long snapshotIndex;
+    private long snapshotTerm;
+    private List<Voter> snapshotSeats = List.of();
+    private byte[] snapshotState = new byte[0];
     private List<Entry> entries = new ArrayList<>();
 
     /** Applies a change. */
@@ -56,17 +56,17 @@
                 throw new IllegalStateException("entry " + c.index + " does not follow the last entry " + lastIndex());
             }
             entries.add(c.entry);
-        } else if (change instanceof Cut c) {
-            entries = new ArrayList<>(entries.subList(0, (int) (c.index - baseIndex - 1)));
+        } else if (change instanceof Truncate c) {
+            entries = new ArrayList<>(entries.subList(0, (int) (c.index - snapshotIndex - 1)));
         } else if (change instanceof Snapshot c) {
-            boolean goesOn = c.index <= lastIndex() && c.index > baseIndex && termAt(c.index) == c.term;
-            entries = goesOn
-                    ? new ArrayList<>(entries.subList((int) (c.index - baseIndex), entries.size()))
+            boolean keepsTail = c.index <= lastIndex() && c.index > snapshotIndex && termAt(c.index) == c.term;
+            entries = keepsTail
+                    ? new ArrayList<>(entries.subList((int) (c.index - snapshotIndex), entries.size()))
                     : new ArrayList<>();
-            baseIndex = c.index;
-            baseTerm = c.term;
-            baseSeats = List.copyOf(c.seats);
-            baseState = c.state;
+            snapshotIndex = c.index;
+            snapshotTerm = c.term;
+            snapshotSeats = List.copyOf(c.seats);
+            snapshotState = c.state;
         }
     }
 
@@ -87,24 +87,24 @@
         return vote;
     }
 
-    long baseIndex() {
-        return baseIndex;
+    long snapshotIndex() {
+        return snapshotIndex;
     }
 
-    long baseTerm() {
-        return baseTerm;
+    long snapshotTerm() {
+        return snapshotTerm;
     }
 
-    List<Voter> baseSeats() {
-        return baseSeats;
+    List<Voter> snapshotSeats() {
+        return snapshotSeats;
     }
 
-    byte[] baseState() {
-        return baseState;
+    byte[] snapshotState() {
+        return snapshotState;
     }
 
     long lastIndex() {
-        return baseIndex + entries.size();
+        return snapshotIndex + entries.size();
     }
 
     long lastTerm() {
@@ -113,38 +113,38 @@
 
     /** Returns the term of an entry, or -1 if the entry is neither in the log nor the last one of the snapshot. */
     long termAt(long index) {
-        return index == baseIndex
-                ? baseTerm
-                : index > baseIndex && index <= lastIndex() ? entry(index).term() : -1;
+        return index == snapshotIndex
+                ? snapshotTerm
+                : index > snapshotIndex && index <= lastIndex() ? entry(index).term() : -1;
     }
 
     Entry entry(long index) {
-        return entries.get((int) (index - baseIndex - 1));
+        return entries.get((int) (index - snapshotIndex - 1));
     }
 
     /** Returns the voters according to the latest membership entry, committed or not. */
     List<Voter> seats() {
-        long at = seatsAt();
-        return at == baseIndex ? baseSeats : Voter.all(entry(at).body());
+        long at = seatsIndex();
+        return at == snapshotIndex ? snapshotSeats : Voter.decodeAll(entry(at).body());
     }
 
     /** Returns the index of the latest membership entry, or that of the snapshot if the log holds none. */
-    long seatsAt() {
-        for (long i = lastIndex(); i > baseIndex; i--) {
+    long seatsIndex() {
+        for (long i = lastIndex(); i > snapshotIndex; i--) {
             if (entry(i).kind() == Entry.Kind.SEATS) {
                 return i;
             }
         }
-        return baseIndex;
+        return snapshotIndex;
     }
 
     /** Returns the voters according to the latest membership entry at or before an index. */
     List<Voter> seatsAsOf(long index) {
-        for (long i = index; i > baseIndex; i--) {
+        for (long i = index; i > snapshotIndex; i--) {
             if (entry(i).kind() == Entry.Kind.SEATS) {
-                return Voter.all(entry(i).body());
+                return Voter.decodeAll(entry(i).body());
             }
         }
-        return baseSeats;
+        return snapshotSeats;
     }
 }
--- a/src/main/java/slateseam/tier/agreement/Entry.java
+++ b/src/main/java/slateseam/tier/agreement/Entry.java
@@ -14,7 +14,7 @@
     public static final int MOST_BODY = 150;
 
     /** Encoded length in bytes of the fields before the body. */
-    static final int HEAD_BYTES = Long.BYTES + 2;
+    static final int HEADER_BYTES = Long.BYTES + 2;
 
     /** Purpose of an entry. */
     public enum Kind {
@@ -35,7 +35,7 @@
     }
 
     int bytes() {
-        return HEAD_BYTES + body.length;
+        return HEADER_BYTES + body.length;
     }
 
     void put(ByteBuffer out) {
--- a/src/main/java/slateseam/tier/agreement/Leadership.java
+++ b/src/main/java/slateseam/tier/agreement/Leadership.java
@@ -16,7 +16,7 @@
  */
 final class Leadership {
     /** Maximum number of rounds whose send time is kept. */
-    private static final int MOST_ROUNDS = 256;
+    private static final int MAX_TRACKED_ROUNDS = 256;
 
     /** Replication state of one follower or of one router that is about to become a voter. */
     static final class Progress {
@@ -43,7 +43,7 @@
     private final Voter self;
     private final Map<Voter, Progress> progress = new HashMap<>();
     /** Send time of each recent round, by round number. */
-    private final TreeMap<Long, Long> sent = new TreeMap<>();
+    private final TreeMap<Long, Long> sentAt = new TreeMap<>();
 
     private List<Voter> joining = List.of();
     private long round;
@@ -55,10 +55,10 @@
     }
 
     /** Starts a new round and returns its number. */
-    long begin(long now) {
-        sent.put(++round, now);
-        if (sent.size() > MOST_ROUNDS) {
-            sent.pollFirstEntry();
+    long beginRound(long now) {
+        sentAt.put(++round, now);
+        if (sentAt.size() > MAX_TRACKED_ROUNDS) {
+            sentAt.pollFirstEntry();
         }
         return round;
     }
@@ -81,7 +81,7 @@
         return new ArrayList<>(all.keySet());
     }
 
-    Progress of(Voter seat, long lastIndex, long now) {
+    Progress progressOf(Voter seat, long lastIndex, long now) {
         return progress.computeIfAbsent(seat, s -> new Progress(lastIndex + 1, now));
     }
 
@@ -90,7 +90,7 @@
         return progress.get(seat);
     }
 
-    void ready() {
+    void markReady() {
         readyRound = Math.min(readyRound, round + 1);
     }
 
@@ -99,24 +99,24 @@
     }
 
     /** Returns the greatest value that a majority of the voters has reached, with {@code own} as the value of the leader itself. */
-    private long ofMajority(List<Voter> seats, long own, ToLongFunction<Progress> figure) {
+    private long majorityValue(List<Voter> seats, long own, ToLongFunction<Progress> value) {
         List<Long> all = new ArrayList<>();
         for (Voter seat : seats) {
             Progress one = progress.get(seat);
-            all.add(seat.equals(self) ? own : one == null ? 0 : figure.applyAsLong(one));
+            all.add(seat.equals(self) ? own : one == null ? 0 : value.applyAsLong(one));
         }
         all.sort(Comparator.reverseOrder());
         return all.get(all.size() / 2);
     }
 
     /** Returns the highest index up to which a majority has the log. */
-    long matched(List<Voter> seats, long own) {
-        return ofMajority(seats, own, one -> one.match);
+    long majorityMatch(List<Voter> seats, long own) {
+        return majorityValue(seats, own, one -> one.match);
     }
 
     /** Returns whether a majority has answered since the given time (check-quorum). */
-    boolean isHeard(List<Voter> seats, long now, long since) {
-        return ofMajority(seats, now, one -> one.answeredAt) >= since;
+    boolean hasMajorityAnswered(List<Voter> seats, long now, long since) {
+        return majorityValue(seats, now, one -> one.answeredAt) >= since;
     }
 
     /**
@@ -124,7 +124,7 @@
      * if no such round is known or the leader does not know the commit index yet.
      */
     long provenAt(List<Voter> seats) {
-        long answered = ofMajority(seats, round, one -> one.answeredRound);
-        return answered >= readyRound ? sent.getOrDefault(answered, -1L) : -1;
+        long answered = majorityValue(seats, round, one -> one.answeredRound);
+        return answered >= readyRound ? sentAt.getOrDefault(answered, -1L) : -1;
     }
 }
--- a/src/main/java/slateseam/tier/agreement/Raft.java
+++ b/src/main/java/slateseam/tier/agreement/Raft.java
@@ -45,20 +45,22 @@
     }
 
     /** Maximum number of messages that wait for the disk; the oldest are dropped, which the protocol treats as lost messages. */
-    private static final int MOST_HELD = 256;
+    private static final int MAX_DEFERRED_MESSAGES = 256;
     /** Maximum number of unacknowledged entries sent to one follower. */
-    private static final int MOST_UNDER_WAY = 64;
+    private static final int MAX_ENTRIES_IN_FLIGHT = 64;
 
     /** Heartbeat intervals that a restarted node waits for all voters to answer its {@link Recall}; then a majority is enough. */
-    private static final int RECALL_PERIODS = 20;
+    private static final int RECALL_TIMEOUT_PERIODS = 20;
 
     /** A message that is sent once the change with the given number is durable. */
-    private record Held(long number, Voter to, Rpc message) {}
+    private record DeferredMessage(long number, Voter to, Rpc message) {}
 
     /** The latest term of a message from another voter, and the highest log index that the voter confirmed in that term. */
-    private record Seen(long term, long match) {
-        Seen and(Seen later) {
-            return later.term == term ? new Seen(term, Math.max(match, later.match)) : later.term > term ? later : this;
+    private record Report(long term, long match) {
+        Report merge(Report later) {
+            return later.term == term
+                    ? new Report(term, Math.max(match, later.match))
+                    : later.term > term ? later : this;
         }
     }
 
@@ -66,12 +68,12 @@
     private final DurableState stable;
     private final RandomGenerator random;
     private final RaftPort port;
-    private final Map<Voter, Seen> seen = new HashMap<>();
+    private final Map<Voter, Report> reports = new HashMap<>();
     private final Set<Voter> votes = new HashSet<>();
     private final Set<Voter> recalled = new HashSet<>();
-    private final Deque<Held> held = new ArrayDeque<>();
+    private final Deque<DeferredMessage> deferred = new ArrayDeque<>();
     /** Log entries being written to disk, as pairs of the number of the change and the index of the entry. */
-    private final Deque<long[]> writing = new ArrayDeque<>();
+    private final Deque<long[]> unsavedEntries = new ArrayDeque<>();
 
     private List<Voter> seats;
     private Role role;
@@ -79,16 +81,16 @@
     private Leadership leadership;
     private long now;
     private long lastTick;
-    private long deadline;
+    private long electionDeadline;
     private long leaderHeardAt = Long.MIN_VALUE / 2;
-    private long nextBeat;
+    private long nextHeartbeatAt;
     private long recallUntil;
-    private long written;
-    private long lasting;
-    private long lastingIndex;
+    private long lastWritten;
+    private long lastPersisted;
+    private long persistedIndex;
     private long commit;
     private long applied;
-    private boolean busy;
+    private boolean inCall;
 
     /**
      * Creates a node from its durable state.
@@ -110,18 +112,17 @@
         this.random = random;
         this.port = port;
         lastTick = now;
-        lastingIndex = stable.lastIndex();
-        commit = stable.baseIndex();
+        persistedIndex = stable.lastIndex();
+        commit = stable.snapshotIndex();
         applied = commit;
         seats = stable.seats();
-        recallUntil = now + RECALL_PERIODS * settings.periodNanos();
-        // A node that was not a voter yet is checked as well, because it may already have confirmed entries while it
-        // was joining.
-        role = fromDisk && !others().isEmpty() ? Role.UNSURE : isSeated() ? Role.FOLLOWER : Role.LEARNER;
+        recallUntil = now + RECALL_TIMEOUT_PERIODS * settings.periodNanos();
+        // A node that is not a voter is checked as well: it may have confirmed entries while it was joining.
+        role = fromDisk && !others().isEmpty() ? Role.UNSURE : isVoter() ? Role.FOLLOWER : Role.LEARNER;
         if (applied > 0) {
-            port.install(applied, stable.baseState());
+            port.install(applied, stable.snapshotState());
         }
-        patient(now);
+        resetElectionTimer(now);
     }
 
     /** Returns the voter identity of this node. */
@@ -134,91 +135,91 @@
         if (stable.group() != 0) {
             throw new IllegalStateException("this voter already belongs to a group");
         }
-        enter();
+        beginCall();
         write(new DurableState.Begin(group, self()));
         write(new DurableState.Snapshot(1, 1, List.of(self()), port.state()));
         write(new DurableState.Term(1, null));
         commit = 1;
         applied = 1;
         role = Role.FOLLOWER;
-        deadline = now;
-        leave();
+        electionDeadline = now;
+        endCall();
     }
 
     /**
      * Returns whether this node is a voter, also while the entry that removes it is not committed. Otherwise a group could be left without
      * a leader: the only node with the longest log could not become a candidate, and would not vote for nodes whose logs lack the entry.
      */
-    private boolean isSeated() {
+    private boolean isVoter() {
         return seats.contains(self())
-                || stable.seatsAt() > commit
-                        && stable.seatsAsOf(Math.max(commit, stable.baseIndex()))
+                || stable.seatsIndex() > commit
+                        && stable.seatsAsOf(Math.max(commit, stable.snapshotIndex()))
                                 .contains(self());
     }
 
-    private void patient(long from) {
-        deadline = from + settings.electionNanos() + (long) (random.nextDouble() * settings.electionNanos());
+    private void resetElectionTimer(long from) {
+        electionDeadline = from + settings.electionNanos() + (long) (random.nextDouble() * settings.electionNanos());
     }
 
     /** Begins a call; write completions reported during the call are processed at its end. */
-    private void enter() {
-        busy = true;
+    private void beginCall() {
+        inCall = true;
     }
 
     /** Ends a call and processes write completions reported during the call, which must not re-enter the node. */
-    private void leave() {
-        busy = false;
-        lasts();
+    private void endCall() {
+        inCall = false;
+        processPersisted();
     }
 
     private void write(DurableState.Change change) {
         stable.apply(change);
-        written++;
+        lastWritten++;
         if (change instanceof DurableState.Append append) {
-            writing.add(new long[] {written, append.index()});
-        } else if (change instanceof DurableState.Cut cut) {
-            lastingIndex = Math.min(lastingIndex, cut.index() - 1);
-            writing.removeIf(one -> one[1] >= cut.index());
+            unsavedEntries.add(new long[] {lastWritten, append.index()});
+        } else if (change instanceof DurableState.Truncate truncate) {
+            persistedIndex = Math.min(persistedIndex, truncate.index() - 1);
+            unsavedEntries.removeIf(one -> one[1] >= truncate.index());
         } else if (change instanceof DurableState.Snapshot snapshot) {
-            lastingIndex = Math.min(lastingIndex, stable.lastIndex());
-            writing.removeIf(one -> one[1] > stable.lastIndex());
-            writing.add(new long[] {written, snapshot.index()});
+            persistedIndex = Math.min(persistedIndex, stable.lastIndex());
+            unsavedEntries.removeIf(one -> one[1] > stable.lastIndex());
+            unsavedEntries.add(new long[] {lastWritten, snapshot.index()});
         }
         seats = stable.seats();
-        port.persist(written, change);
+        port.persist(lastWritten, change);
     }
 
     /** Reports that all changes up to and including this number are durable. */
     public void persisted(long number) {
-        lasting = Math.max(lasting, number);
-        if (!busy) {
-            lasts();
+        lastPersisted = Math.max(lastPersisted, number);
+        if (!inCall) {
+            processPersisted();
         }
     }
 
-    private void lasts() {
-        enter();
-        while (!writing.isEmpty() && writing.peek()[0] <= lasting) {
-            lastingIndex = Math.max(lastingIndex, writing.poll()[1]);
+    private void processPersisted() {
+        beginCall();
+        while (!unsavedEntries.isEmpty() && unsavedEntries.peek()[0] <= lastPersisted) {
+            persistedIndex = Math.max(persistedIndex, unsavedEntries.poll()[1]);
         }
-        while (!held.isEmpty() && held.peek().number <= lasting) {
-            Held one = held.poll();
+        while (!deferred.isEmpty() && deferred.peek().number <= lastPersisted) {
+            DeferredMessage one = deferred.poll();
             port.send(one.to, one.message);
         }
         if (role == Role.LEADER) {
-            advance();
+            advanceCommit();
         }
-        busy = false;
+        inCall = false;
     }
 
     /** Sends a message after all changes so far are durable, so that no answer confirms state that a power failure would undo. */
-    private void sendOnceLasting(Voter to, Rpc message) {
-        if (lasting >= written) {
+    private void sendWhenDurable(Voter to, Rpc message) {
+        if (lastPersisted >= lastWritten) {
             port.send(to, message);
         } else {
-            held.add(new Held(written, to, message));
-            if (held.size() > MOST_HELD) {
-                held.poll();
+            deferred.add(new DeferredMessage(lastWritten, to, message));
+            if (deferred.size() > MAX_DEFERRED_MESSAGES) {
+                deferred.poll();
             }
         }
     }
@@ -235,31 +236,31 @@
         if (role == Role.LOST) {
             return;
         }
-        enter();
+        beginCall();
         if (gap > settings.electionNanos() / 2 && role != Role.LEADER) {
-            patient(now); // the node itself was paused, so it cannot tell whether the leader was silent
+            resetElectionTimer(now); // the node itself was paused, so it cannot tell whether the leader was silent
         }
         if (role == Role.UNSURE) {
-            recall();
+            askOthers();
         } else if (role == Role.LEADER) {
-            if (!leadership.isHeard(seats, now, now - settings.electionNanos())) {
-                follow(stable.term(), null);
-            } else if (now >= nextBeat) {
-                beat();
+            if (!leadership.hasMajorityAnswered(seats, now, now - settings.electionNanos())) {
+                becomeFollower(stable.term(), null);
+            } else if (now >= nextHeartbeatAt) {
+                replicate();
             }
-        } else if (role != Role.LEARNER && now >= deadline) {
-            campaign();
+        } else if (role != Role.LEARNER && now >= electionDeadline) {
+            startElection();
         }
-        leave();
+        endCall();
     }
 
-    private void recall() {
+    private void askOthers() {
         int asked = others().size();
         if (recalled.size() >= asked || now >= recallUntil && 2 * (recalled.size() + 1) > asked + 1) {
-            role = isSeated() ? Role.FOLLOWER : Role.LEARNER;
-            patient(now);
-        } else if (now >= nextBeat) {
-            nextBeat = now + settings.periodNanos();
+            role = isVoter() ? Role.FOLLOWER : Role.LEARNER;
+            resetElectionTimer(now);
+        } else if (now >= nextHeartbeatAt) {
+            nextHeartbeatAt = now + settings.periodNanos();
             others().forEach(seat -> port.send(seat, new Recall(head(seat))));
         }
     }
@@ -272,62 +273,62 @@
         return 2 * seats.stream().filter(some::contains).count() > seats.size();
     }
 
-    private void campaign() {
-        patient(now);
+    private void startElection() {
+        resetElectionTimer(now);
         leader = null;
         votes.clear();
         votes.add(self());
         if (!settings.preVote()) {
-            stand();
+            becomeCandidate();
             return;
         }
         role = Role.PRE_CANDIDATE;
         for (Voter seat : others()) {
             Head asked = new Head(stable.group(), self(), seat, stable.term() + 1);
-            sendOnceLasting(seat, new RequestVote(asked, true, stable.lastIndex(), stable.lastTerm()));
+            sendWhenDurable(seat, new RequestVote(asked, true, stable.lastIndex(), stable.lastTerm()));
         }
         if (isMajority(votes)) {
-            stand();
+            becomeCandidate();
         }
     }
 
-    private void stand() {
+    private void becomeCandidate() {
         role = Role.CANDIDATE;
         write(new DurableState.Term(stable.term() + 1, self()));
         votes.clear();
         votes.add(self());
         others().forEach(seat ->
-                sendOnceLasting(seat, new RequestVote(head(seat), false, stable.lastIndex(), stable.lastTerm())));
+                sendWhenDurable(seat, new RequestVote(head(seat), false, stable.lastIndex(), stable.lastTerm())));
         if (isMajority(votes)) {
-            lead();
+            becomeLeader();
         }
     }
 
-    private void lead() {
+    private void becomeLeader() {
         role = Role.LEADER;
         leader = self();
         leadership = new Leadership(self());
         write(new DurableState.Append(
                 stable.lastIndex() + 1, new Entry(stable.term(), Entry.Kind.NOTHING, new byte[0])));
-        beat();
+        replicate();
     }
 
-    /** Becomes a follower of the leader of a term, or of no leader yet if {@code whom} is null. */
-    private void follow(long term, Voter whom) {
+    /** Becomes a follower of the leader of a term, or of no leader yet if {@code newLeader} is null. */
+    private void becomeFollower(long term, Voter newLeader) {
         if (term > stable.term()) {
             write(new DurableState.Term(term, null));
         }
-        role = isSeated() ? Role.FOLLOWER : Role.LEARNER;
+        role = isVoter() ? Role.FOLLOWER : Role.LEARNER;
         leadership = null;
-        leader = whom;
-        patient(now);
+        leader = newLeader;
+        resetElectionTimer(now);
     }
 
-    private void beat() {
-        nextBeat = now + settings.periodNanos();
-        leadership.begin(now);
+    private void replicate() {
+        nextHeartbeatAt = now + settings.periodNanos();
+        leadership.beginRound(now);
         for (Voter seat : leadership.followers(seats)) {
-            Leadership.Progress one = leadership.of(seat, stable.lastIndex(), now);
+            Leadership.Progress one = leadership.progressOf(seat, stable.lastIndex(), now);
             if (now - one.answeredAt > 2 * settings.periodNanos() && !one.probing) {
                 one.probing = true; // treats the messages in flight as lost
                 one.next = one.match + 1;
@@ -339,24 +340,25 @@
     /** Sends a follower the entries or the snapshot that it lacks; with {@code always}, at least one message (a heartbeat). */
     private void send(Voter to, Leadership.Progress one, boolean always) {
         boolean first = always;
-        while (first || !one.probing && one.next <= stable.lastIndex() && one.next - 1 - one.match < MOST_UNDER_WAY) {
+        while (first
+                || !one.probing && one.next <= stable.lastIndex() && one.next - 1 - one.match < MAX_ENTRIES_IN_FLIGHT) {
             first = false;
-            if (one.next <= stable.baseIndex()) {
-                byte[] state = stable.baseState();
+            if (one.next <= stable.snapshotIndex()) {
+                byte[] state = stable.snapshotState();
                 port.send(
                         to,
                         new InstallSnapshot(
                                 head(to),
-                                stable.baseIndex(),
-                                stable.baseTerm(),
+                                stable.snapshotIndex(),
+                                stable.snapshotTerm(),
                                 leadership.round(),
                                 port.offer(state),
                                 state.length,
-                                stable.baseSeats()));
+                                stable.snapshotSeats()));
                 return;
             }
             List<Entry> entries = new ArrayList<>();
-            int room = Rpc.ENTRY_ROOM;
+            int room = Rpc.MAX_ENTRIES_BYTES;
             for (long i = one.next; i <= stable.lastIndex() && stable.entry(i).bytes() <= room; i++) {
                 room -= stable.entry(i).bytes();
                 entries.add(stable.entry(i));
@@ -377,29 +379,28 @@
         if (role == Role.LOST || !head.to().equals(self()) || head.group() != stable.group() && !joins) {
             return;
         }
-        enter();
+        beginCall();
         if (joins) {
             write(new DurableState.Begin(head.group(), self()));
         }
-        remember(message);
+        recordReport(message);
         if (message instanceof Recall) {
-            Seen had = seen.getOrDefault(head.from(), new Seen(0, 0));
+            Report had = reports.getOrDefault(head.from(), new Report(0, 0));
             port.send(head.from(), new Recalled(head(head.from()), had.term, had.match));
         } else if (message instanceof Recalled r) {
-            recalled(r);
+            onRecalled(r);
         } else if (role == Role.UNSURE) {
-            led(message);
+            checkRecallTimeout(message);
         } else {
-            take(message);
+            dispatch(message);
         }
-        leave();
+        endCall();
     }
 
-    private void recalled(Recalled r) {
+    private void onRecalled(Recalled r) {
         if (r.heardTerm() > stable.term() || r.heardTerm() == stable.term() && r.match() > stable.lastIndex()) {
-            lost("router " + r.head().from().router() + " received term " + r.heardTerm() + " and entry " + r.match()
-                    + " from this voter, but its durable state has term " + stable.term() + " and entry "
-                    + stable.lastIndex());
+            loseMemory("router " + r.head().from().router() + " received term " + r.heardTerm() + ", entry " + r.match()
+                    + " from this voter, whose state has term " + stable.term() + ", entry " + stable.lastIndex());
         } else if (role == Role.UNSURE) {
             recalled.add(r.head().from());
         }
@@ -409,54 +410,54 @@
      * Gives up this voter identity if a leader is active but too few voters have answered whether this node's state is complete. Otherwise
      * the node would wait forever for voters that have been removed; the group can add it again under a new identity.
      */
-    private void led(Rpc message) {
-        boolean leads = message instanceof AppendEntries || message instanceof InstallSnapshot;
-        if (leads
+    private void checkRecallTimeout(Rpc message) {
+        boolean isFromLeader = message instanceof AppendEntries || message instanceof InstallSnapshot;
+        if (isFromLeader
                 && message.head().term() >= stable.term()
-                && now > recallUntil + RECALL_PERIODS * settings.periodNanos()) {
-            lost("the group has a leader, but too few voters confirmed that the durable state is complete");
+                && now > recallUntil + RECALL_TIMEOUT_PERIODS * settings.periodNanos()) {
+            loseMemory("the group has a leader, but too few voters confirmed that the durable state is complete");
         }
     }
 
-    private void lost(String why) {
+    private void loseMemory(String why) {
         role = Role.LOST;
         port.memoryLost(why);
     }
 
-    private void remember(Rpc message) {
+    private void recordReport(Rpc message) {
         boolean pre = message instanceof RequestVote r && r.pre() || message instanceof Vote v && v.pre();
         if (!pre && !(message instanceof Recall) && !(message instanceof Recalled)) {
             long match = message instanceof Appended a && a.fitted() ? a.match() : 0;
-            seen.merge(message.head().from(), new Seen(message.head().term(), match), Seen::and);
+            reports.merge(message.head().from(), new Report(message.head().term(), match), Report::merge);
         }
     }
 
-    private void take(Rpc message) {
+    private void dispatch(Rpc message) {
         if (message instanceof RequestVote r) {
-            asked(r);
+            onRequestVote(r);
         } else if (message instanceof Vote r) {
-            answered(r);
+            onVote(r);
         } else if (message instanceof AppendEntries r) {
-            append(r);
+            onAppendEntries(r);
         } else if (message instanceof InstallSnapshot r) {
-            install(r);
+            onInstallSnapshot(r);
         } else if (message instanceof Appended r) {
-            appended(r);
+            onAppended(r);
         }
     }
 
     /** Returns whether this node leads or has heard a leader within the election timeout, so that it refuses to vote. */
-    private boolean isLed() {
+    private boolean hasLeader() {
         return settings.preVote() && (role == Role.LEADER || now - leaderHeardAt < settings.electionNanos());
     }
 
-    private void asked(RequestVote r) {
+    private void onRequestVote(RequestVote r) {
         Voter from = r.head().from();
-        boolean hasAll = r.lastTerm() > stable.lastTerm()
+        boolean isUpToDate = r.lastTerm() > stable.lastTerm()
                 || r.lastTerm() == stable.lastTerm() && r.lastIndex() >= stable.lastIndex();
         if (r.pre()) {
-            boolean would = r.head().term() > stable.term() && !isLed() && hasAll;
-            sendOnceLasting(
+            boolean would = r.head().term() > stable.term() && !hasLeader() && isUpToDate;
+            sendWhenDurable(
                     from,
                     new Vote(
                             new Head(
@@ -469,87 +470,88 @@
             return;
         }
         if (r.head().term() > stable.term()) {
-            if (isLed()) {
+            if (hasLeader()) {
                 return; // the candidate does not hear the leader that this node hears
             }
-            follow(r.head().term(), null);
+            becomeFollower(r.head().term(), null);
         }
         boolean granted = r.head().term() == stable.term()
-                && hasAll
+                && isUpToDate
                 && (stable.vote() == null || stable.vote().equals(from));
         if (granted && stable.vote() == null) {
             write(new DurableState.Term(stable.term(), from));
         }
         if (granted) {
-            patient(now);
+            resetElectionTimer(now);
         }
-        sendOnceLasting(from, new Vote(head(from), false, granted));
+        sendWhenDurable(from, new Vote(head(from), false, granted));
     }
 
-    private void answered(Vote r) {
+    private void onVote(Vote r) {
         if (r.pre() && r.granted()) {
             if (role == Role.PRE_CANDIDATE && r.head().term() == stable.term() + 1) {
                 votes.add(r.head().from());
                 if (isMajority(votes)) {
-                    stand();
+                    becomeCandidate();
                 }
             }
         } else if (r.head().term() > stable.term()) {
-            follow(r.head().term(), null);
+            becomeFollower(r.head().term(), null);
         } else if (!r.pre() && r.granted() && role == Role.CANDIDATE && r.head().term() == stable.term()) {
             votes.add(r.head().from());
             if (isMajority(votes)) {
-                lead();
+                becomeLeader();
             }
         }
     }
 
     /** Follows the sender of a leader's message and returns true, or rejects the message of a leader of an earlier term. */
-    private boolean isOfLeader(Rpc message) {
+    private boolean acceptLeader(Rpc message) {
         Head head = message.head();
         if (head.term() < stable.term()) {
-            sendOnceLasting(head.from(), new Appended(head(head.from()), false, 0, 0));
+            sendWhenDurable(head.from(), new Appended(head(head.from()), false, 0, 0));
             return false;
         }
-        follow(head.term(), head.from());
+        becomeFollower(head.term(), head.from());
         leaderHeardAt = now;
         return true;
     }
 
-    private void append(AppendEntries r) {
-        if (!isOfLeader(r)) {
+    private void onAppendEntries(AppendEntries r) {
+        if (!acceptLeader(r)) {
             return;
         }
         Voter from = r.head().from();
         long before = r.previousIndex();
-        if (before > stable.lastIndex() || before >= stable.baseIndex() && stable.termAt(before) != r.previousTerm()) {
-            sendOnceLasting(from, new Appended(head(from), false, Math.min(before - 1, stable.lastIndex()), r.round()));
+        if (before > stable.lastIndex()
+                || before >= stable.snapshotIndex() && stable.termAt(before) != r.previousTerm()) {
+            sendWhenDurable(from, new Appended(head(from), false, Math.min(before - 1, stable.lastIndex()), r.round()));
             return;
         }
         long index = before;
         for (Entry entry : r.entries()) {
             index++;
-            if (index <= stable.baseIndex() || stable.termAt(index) == entry.term()) {
+            if (index <= stable.snapshotIndex() || stable.termAt(index) == entry.term()) {
                 continue;
             }
             if (index <= commit) {
-                lost("entry " + index + " was committed here with term " + stable.termAt(index)
+                loseMemory("entry " + index + " was committed here with term " + stable.termAt(index)
                         + ", but the leader sent it with term " + entry.term());
                 return;
             }
             if (index <= stable.lastIndex()) {
-                write(new DurableState.Cut(index));
+                write(new DurableState.Truncate(index));
             }
             write(new DurableState.Append(index, entry));
         }
         commit = Math.max(commit, Math.min(r.commit(), index));
-        applyAll();
-        role = isSeated() ? Role.FOLLOWER : Role.LEARNER;
-        sendOnceLasting(from, new Appended(head(from), true, index, r.round()));
+        applyCommitted();
+        role = isVoter() ? Role.FOLLOWER : Role.LEARNER;
+        sendWhenDurable(from, new Appended(head(from), true, index, r.round()));
     }
 
-    private void install(InstallSnapshot r) {
-        if (!isOfLeader(r)) {
+    private void onInstallSnapshot(InstallSnapshot r) {
+        if (!acceptLeader(r)) {
             return;
         }
         Voter from = r.head().from();
@@ -560,18 +562,18 @@
             commit = r.index();
             applied = commit;
             port.install(applied, state);
-            role = isSeated() ? Role.FOLLOWER : Role.LEARNER;
+            role = isVoter() ? Role.FOLLOWER : Role.LEARNER;
         }
         boolean fits = has || state != null;
-        sendOnceLasting(
+        sendWhenDurable(
                 from,
                 new Appended(
                         head(from), fits, fits ? r.index() : Math.min(r.index() - 1, stable.lastIndex()), r.round()));
     }
 
-    private void appended(Appended r) {
+    private void onAppended(Appended r) {
         if (r.head().term() > stable.term()) {
-            follow(r.head().term(), null);
+            becomeFollower(r.head().term(), null);
             return;
         }
         Leadership.Progress one = role == Role.LEADER && r.head().term() == stable.term()
@@ -597,34 +599,34 @@
                 port.send(r.head().from(), new Recalled(head(r.head().from()), stable.term(), one.match));
             }
         }
-        advance();
+        advanceCommit();
         if (role == Role.LEADER) {
             send(r.head().from(), one, one.probing && one.next <= stable.lastIndex());
         }
     }
 
     /** Commits the entries that a majority has if the last of them is of the current term; earlier terms are committed with it. */
-    private void advance() {
-        long matched = leadership.matched(seats, lastingIndex);
+    private void advanceCommit() {
+        long matched = leadership.majorityMatch(seats, persistedIndex);
         if (matched <= commit || stable.termAt(matched) != stable.term()) {
             return;
         }
         commit = matched;
-        leadership.ready();
-        applyAll();
-        if (!seats.contains(self()) && stable.seatsAt() <= commit) {
-            follow(stable.term(), null);
+        leadership.markReady();
+        applyCommitted();
+        if (!seats.contains(self()) && stable.seatsIndex() <= commit) {
+            becomeFollower(stable.term(), null);
         } else {
-            beat(); // announces the new commit index at once
+            replicate(); // announces the new commit index at once
         }
     }
 
-    private void applyAll() {
+    private void applyCommitted() {
         while (applied < commit) {
             applied++;
             port.apply(applied, stable.entry(applied));
         }
-        if (applied - stable.baseIndex() > settings.keptEntries()) {
+        if (applied - stable.snapshotIndex() > settings.keptEntries()) {
             write(new DurableState.Snapshot(applied, stable.termAt(applied), stable.seatsAsOf(applied), port.state()));
         }
     }
@@ -634,11 +636,11 @@
         if (role != Role.LEADER) {
             return -1;
         }
-        enter();
+        beginCall();
         long index = stable.lastIndex() + 1;
         write(new DurableState.Append(index, new Entry(stable.term(), Entry.Kind.COMMAND, body)));
-        beat();
-        leave();
+        replicate();
+        endCall();
         return index;
     }
 
@@ -655,17 +657,17 @@
         });
         if (role != Role.LEADER
                 || !leadership.isReady()
-                || stable.seatsAt() > commit
+                || stable.seatsIndex() > commit
                 || differ.size() != 1
                 || to.isEmpty()
                 || to.size() > Voter.MOST) {
             return false;
         }
-        enter();
+        beginCall();
         write(new DurableState.Append(
-                stable.lastIndex() + 1, new Entry(stable.term(), Entry.Kind.SEATS, Voter.bytes(to))));
-        beat();
-        leave();
+                stable.lastIndex() + 1, new Entry(stable.term(), Entry.Kind.SEATS, Voter.encodeAll(to))));
+        replicate();
+        endCall();
         return true;
     }
 
@@ -679,7 +681,7 @@
     /** Returns whether a joining router has nearly the whole log. */
     public boolean hasCaughtUp(Voter seat) {
         Leadership.Progress one = role == Role.LEADER ? leadership.find(seat) : null;
-        return one != null && one.match > 0 && one.match + MOST_UNDER_WAY / 4 >= stable.lastIndex();
+        return one != null && one.match > 0 && one.match + MAX_ENTRIES_IN_FLIGHT / 4 >= stable.lastIndex();
     }
 
     /** Returns whether a voter has not answered this leader for two election timeouts, longer than chance message loss explains. */
@@ -731,7 +733,7 @@
                 .append(stable.vote())
                 .append(commit)
                 .append(votes);
-        for (long i = stable.baseIndex() + 1; i <= stable.lastIndex(); i++) {
+        for (long i = stable.snapshotIndex() + 1; i <= stable.lastIndex(); i++) {
             text.append(' ')
                     .append(stable.entry(i).term())
                     .append(Arrays.toString(stable.entry(i).body()));
--- a/src/main/java/slateseam/tier/agreement/Rpc.java
+++ b/src/main/java/slateseam/tier/agreement/Rpc.java
@@ -21,11 +21,11 @@
     /** First byte of each message, which distinguishes these messages from other datagrams. */
     byte MAGIC = (byte) 0xb8;
     /** Maximum length of a datagram in bytes. */
-    int MOST_BYTES = 256;
+    int MAX_BYTES = 256;
     /** Length in bytes of the common header before the fields of the message kind. */
-    int HEAD_BYTES = 44;
+    int HEADER_BYTES = 44;
     /** Bytes that the entries of one message may occupy in total. */
-    int ENTRY_ROOM = MOST_BYTES - HEAD_BYTES - 4 * Long.BYTES - 1;
+    int MAX_ENTRIES_BYTES = MAX_BYTES - HEADER_BYTES - 4 * Long.BYTES - 1;
 
     /**
      * Header that all messages have in common.
@@ -93,7 +93,7 @@
 
     /** Encodes the message as a datagram. */
     default byte[] encode() {
-        ByteBuffer out = ByteBuffer.allocate(MOST_BYTES);
+        ByteBuffer out = ByteBuffer.allocate(MAX_BYTES);
         out.put(MAGIC).put((byte) 1).put((byte) kind()).put((byte) 0).putInt(0).putLong(head().group());
         head().from().put(out);
         head().to().put(out);
@@ -148,8 +148,8 @@
 
     /** Decodes a datagram; returns null if the datagram is not such a message or is damaged. */
     static Rpc decode(byte[] bytes) {
-        if (bytes.length < HEAD_BYTES
-                || bytes.length > MOST_BYTES
+        if (bytes.length < HEADER_BYTES
+                || bytes.length > MAX_BYTES
                 || bytes[0] != MAGIC
                 || bytes[1] != 1
                 || ByteBuffer.wrap(bytes).getInt(4) != checksum(bytes)) {
--- a/src/main/java/slateseam/tier/agreement/Voter.java
+++ b/src/main/java/slateseam/tier/agreement/Voter.java
@@ -14,7 +14,7 @@
  */
 public record Voter(int router, long memory) implements Comparable<Voter> {
     /** Encoded length in bytes. */
-    static final int BYTES = Short.BYTES + Long.BYTES;
+    static final int ENCODED_BYTES = Short.BYTES + Long.BYTES;
     /** Maximum number of voters in a group. */
     public static final int MOST = 7;
 
@@ -26,15 +26,15 @@
         return new Voter(in.getShort(), in.getLong());
     }
 
-    static byte[] bytes(List<Voter> seats) {
-        ByteBuffer out = ByteBuffer.allocate(seats.size() * BYTES);
+    static byte[] encodeAll(List<Voter> seats) {
+        ByteBuffer out = ByteBuffer.allocate(seats.size() * ENCODED_BYTES);
         seats.forEach(seat -> seat.put(out));
         return out.array();
     }
 
-    static List<Voter> all(byte[] bytes) {
+    static List<Voter> decodeAll(byte[] bytes) {
         List<Voter> seats = new ArrayList<>();
-        for (ByteBuffer in = ByteBuffer.wrap(bytes); in.remaining() >= BYTES; ) {
+        for (ByteBuffer in = ByteBuffer.wrap(bytes); in.remaining() >= ENCODED_BYTES; ) {
             seats.add(get(in));
         }
         return seats;
--- a/src/test/java/slateseam/simulate/AgreementBugs.java
+++ b/src/test/java/slateseam/simulate/AgreementBugs.java
@@ -22,15 +22,15 @@
                         List.of(
                                 PlantedBug.change(
                                         AT + "Raft",
-                                        "boolean granted = r.head().term() == stable.term() && hasAll &&",
+                                        "boolean granted = r.head().term() == stable.term() && isUpToDate &&",
                                         "boolean granted = r.head().term() == stable.term() &&"),
-                                PlantedBug.change(AT + "Raft", "!isLed() && hasAll;", "!isLed();"))),
+                                PlantedBug.change(AT + "Raft", "!hasLeader() && isUpToDate;", "!hasLeader();"))),
                 bug(
                         "a vote is not written down",
                         "Raft",
                         "            write(new DurableState.Term(stable.term(), from));",
                         ""),
-                bug("answers do not wait for the disk", "Raft", "if (lasting >= written) {", "if (true) {"),
+                bug("answers do not wait for the disk", "Raft", "if (lastPersisted >= lastWritten) {", "if (true) {"),
                 bug(
                         "what an earlier leader wrote counts as committed",
                         "Raft",
@@ -49,7 +49,7 @@
                 bug(
                         "entries are taken without the one before",
                         "Raft",
-                        "before >= stable.baseIndex() && stable.termAt(before) != r.previousTerm()",
+                        "before >= stable.snapshotIndex() && stable.termAt(before) != r.previousTerm()",
                         "false"),
                 bug(
                         "commits go beyond what was compared",
@@ -69,13 +69,13 @@
                 bug(
                         "who votes changes twice at once",
                         "Raft",
-                        "stable.seatsAt() > commit || differ.size() != 1",
+                        "stable.seatsIndex() > commit || differ.size() != 1",
                         "differ.size() != 1"),
                 bug(
                         "a snapshot forgets who votes",
                         "Raft",
                         "write(new DurableState.Snapshot(r.index(), r.lastTerm(), r.seats(), state));",
-                        "write(new DurableState.Snapshot(r.index(), r.lastTerm(), stable.baseSeats(), state));"));
+                        "write(new DurableState.Snapshot(r.index(), r.lastTerm(), stable.snapshotSeats(), state));"));
     }
 
     private static PlantedBug bug(String name, String file, String text, String instead) {
