--- a/src/main/java/slateseam/router/tier/SharedPolicy.java
+++ b/src/main/java/slateseam/router/tier/SharedPolicy.java
@@ -37,7 +37,7 @@
     /** Makes the random sequence used here differ from those of other parts of the router, which have the same configured seed. */
     private static final long SEED = 0x706f6c6963793031L;
     /** Maximum size of the proposal file in bytes: room for a document of maximum size as an escaped JSON string, and other fields. */
-    private static final int MOST_PROPOSAL = 2 * PolicyDocument.MOST_BYTES;
+    private static final int MAX_PROPOSAL_BYTES = 2 * PolicyDocument.MOST_BYTES;
 
     private final Features.Policy settings;
     private final NodeConfig config;
@@ -46,7 +46,7 @@
     private final Supplier<Tally> tally;
     private final Consumer<NodeConfig> adopt;
     /** The settings of the router's own file, without the shared policy. */
-    private NodeConfig own;
+    private NodeConfig ownConfig;
     /** Null before the start and while another process acts for this router. */
     private Policy policy;
 
@@ -54,7 +54,7 @@
     /** The policy document applied last; empty if there is none. */
     private byte[] document = new byte[0];
     /** The version proposed last by an operator at this router, or null. */
-    private Version asked;
+    private Version lastProposed;
 
     /**
      * Creates a stopped instance, which permits no requests until {@link #talk} is called.
@@ -71,7 +71,7 @@
             Consumer<NodeConfig> adopt) {
         this.settings = settings;
         this.config = config;
-        this.own = config;
+        this.ownConfig = config;
         this.loop = loop;
         this.tier = tier;
         this.tally = tally;
@@ -89,16 +89,16 @@
         if (by == null) {
             return;
         }
-        PolicySettings usual =
+        PolicySettings defaults =
                 PolicySettings.usual(config.settings().me(), config.settings().routers(), settings.voters());
         policy = new Policy(
                 new PolicySettings(
-                        usual.me(),
-                        usual.routers(),
-                        usual.voters(),
+                        defaults.me(),
+                        defaults.routers(),
+                        defaults.voters(),
                         settings.leaseNanos(),
-                        usual.pollNanos(),
-                        usual.raft()),
+                        defaults.pollNanos(),
+                        defaults.raft()),
                 null,
                 loop.now(),
                 new SplittableRandom(config.seed() ^ SEED ^ loop.now()),
@@ -116,11 +116,11 @@
         }
     }
 
-    private void tick(Policy of) {
-        if (of == policy) {
+    private void tick(Policy expected) {
+        if (expected == policy) {
             policy.view(tier.present(), tier.isTrusted());
             policy.tick(loop.now());
-            loop.after(TICK_NANOS, () -> tick(of));
+            loop.after(TICK_NANOS, () -> tick(expected));
         }
     }
 
@@ -132,7 +132,7 @@
     /** Replaces the settings of the router's own file and returns the settings that result with the policy applied on top. */
     public NodeConfig over(NodeConfig changed) throws InvalidConfigException {
         NodeConfig merged = PolicyDocument.over(changed, document);
-        own = changed;
+        ownConfig = changed;
         return merged;
     }
 
@@ -149,9 +149,9 @@
      */
     @Override
     public void persist(long number, DurableState.Change change) {
-        Policy of = policy;
+        Policy expected = policy;
         loop.after(0, () -> {
-            if (of != null && of == policy) {
+            if (expected != null && expected == policy) {
                 policy.persisted(number);
             }
         });
@@ -165,7 +165,7 @@
     @Override
     public String check(byte[] bytes) {
         try {
-            PolicyDocument.over(own, bytes);
+            PolicyDocument.over(ownConfig, bytes);
             return null;
         } catch (InvalidConfigException e) {
             return e.getMessage();
@@ -175,7 +175,7 @@
     @Override
     public void holds(Version version, byte[] bytes) {
         try {
-            NodeConfig merged = PolicyDocument.over(own, bytes);
+            NodeConfig merged = PolicyDocument.over(ownConfig, bytes);
             document = bytes;
             adopt.accept(merged);
             loop.log()
@@ -220,28 +220,33 @@
             return "policy_proposal names no file";
         }
         try {
-            if (Files.size(settings.proposal()) > MOST_PROPOSAL) {
-                return settings.proposal() + " has over " + MOST_PROPOSAL + " bytes";
+            if (Files.size(settings.proposal()) > MAX_PROPOSAL_BYTES) {
+                return settings.proposal() + " has over " + MAX_PROPOSAL_BYTES + " bytes";
             }
-            JSONObject told = new JSONObject(Files.readString(settings.proposal()));
-            String name = told.getString("name");
-            byte[] bytes = told.getString("document").getBytes(StandardCharsets.UTF_8);
-            int watch = told.optInt("watch_s", 30);
-            int points = told.optInt("points", 10);
+            JSONObject proposal = new JSONObject(Files.readString(settings.proposal()));
+            String name = proposal.getString("name");
+            byte[] bytes = proposal.getString("document").getBytes(StandardCharsets.UTF_8);
+            int watchSeconds = proposal.optInt("watch_s", 30);
+            int points = proposal.optInt("points", 10);
             if (!name.matches("[A-Za-z0-9._-]{1," + Version.MOST_NAME + "}")
-                    || watch < 0
-                    || watch > 3_600
+                    || watchSeconds < 0
+                    || watchSeconds > 3_600
                     || points < 1
                     || points > 100) {
                 return settings.proposal() + ": a name of 1 to " + Version.MOST_NAME
                         + " letters, digits, . _ -, watch_s 0 to 3600, points 1 to 100";
             }
-            String wrong = check(bytes);
-            if (wrong != null) {
-                return wrong;
+            String fault = check(bytes);
+            if (fault != null) {
+                return fault;
             }
-            asked = policy.propose(
-                    name, bytes, told.optBoolean("all", true), told.optBoolean("stale", false), watch, points);
+            lastProposed = policy.propose(
+                    name,
+                    bytes,
+                    proposal.optBoolean("all", true),
+                    proposal.optBoolean("stale", false),
+                    watchSeconds,
+                    points);
             return null;
         } catch (IOException | JSONException e) {
             return settings.proposal() + ": " + e.getMessage();
@@ -250,8 +255,8 @@
 
     /** Proposes to revert the newest version; returns the reason of a failure, or null. */
     public String undo() {
-        asked = policy == null ? null : policy.undo();
-        return asked == null ? "there is no version to take back" : null;
+        lastProposed = policy == null ? null : policy.undo();
+        return lastProposed == null ? "there is no version to take back" : null;
     }
 
     private long age() {
@@ -311,7 +316,7 @@
         }
         Raft raft = policy.raft();
         Version held = policy.held();
-        String outcome = asked == null ? null : policy.outcome(asked);
+        String outcome = lastProposed == null ? null : policy.outcome(lastProposed);
         Version open = policy.versions().open();
         return all.put("group", Long.toHexString(policy.group()))
                 .put("role", raft.role().name().toLowerCase(Locale.ROOT))
@@ -333,7 +338,7 @@
                 .put("holds_in_ms", Math.min(Integer.MAX_VALUE, policy.holdsIn(loop.now()) / Clock.MILLI))
                 .put("serves", mayServe())
                 .put("stale", policy.isStale(loop.now()))
-                .put("asked", asked == null ? JSONObject.NULL : asked.name())
+                .put("asked", lastProposed == null ? JSONObject.NULL : lastProposed.name())
                 .put("outcome", outcome == null ? JSONObject.NULL : outcome)
                 .put("versions", versions);
     }
--- a/src/main/java/slateseam/router/tier/Tier.java
+++ b/src/main/java/slateseam/router/tier/Tier.java
@@ -43,14 +43,14 @@
      * Minimum number of routers for which the decision module is informed. Of two routers, neither can tell whether the other has failed or
      * is only unreachable, so the decision module's own rule for ring neighbours applies.
      */
-    private static final int LEAST_ROUTERS = 3;
+    private static final int MIN_ROUTERS = 3;
 
     private final Features.Tier settings;
     private final NodeConfig config;
     private final Loop loop;
     private final Consumer<Event> decision;
     private Consumer<Change> observer = change -> {};
-    private final Map<Integer, Sight> sights = new HashMap<>();
+    private final Map<Integer, Sight> reportedSights = new HashMap<>();
     private Trust trust = Trust.FULL;
     /** Null before the start and while another process acts for this router. */
     private Peers peers;
@@ -59,7 +59,7 @@
     private boolean changed;
     private String lastChange = "none";
     /** Detection time of the latest failure: from the last message of the failed member until the failure was known here; 0 for none. */
-    private long detectNanos;
+    private long detectionNanos;
 
     /** Creates a stopped instance, which sends nothing until {@link #talk} is called. */
     public Tier(Features.Tier settings, NodeConfig config, Loop loop, Consumer<Event> decision) {
@@ -70,8 +70,8 @@
     }
 
     /** Sets the observer of each further change of this router's membership view, in addition to the log. */
-    public void observe(Consumer<Change> told) {
-        observer = told;
+    public void observe(Consumer<Change> newObserver) {
+        observer = newObserver;
     }
 
     /**
@@ -82,25 +82,25 @@
     public void talk(Peers by) {
         peers = by;
         members = null;
-        sights.clear();
+        reportedSights.clear();
         trust = Trust.FULL;
         if (by == null) {
             return;
         }
-        MembersSettings own = MembersSettings.usual(
+        MembersSettings defaults = MembersSettings.usual(
                 settings.name(), config.name(), config.settings().me(), config.peers());
         members = new Members(
                 new MembersSettings(
-                        own.tier(),
-                        own.name(),
-                        own.number(),
-                        own.peers(),
+                        defaults.tier(),
+                        defaults.name(),
+                        defaults.number(),
+                        defaults.peers(),
                         settings.periodNanos(),
                         settings.watchers(),
                         6 * settings.periodNanos(),
-                        own.recentNanos(),
+                        defaults.recentNanos(),
                         settings.forgetNanos(),
-                        own.most(),
+                        defaults.most(),
                         settings.toldPlaces()),
                 loop.now(),
                 new SplittableRandom(config.seed() ^ SEED),
@@ -120,28 +120,28 @@
         by.divert(Members.firstByte(), (from, datagram) -> {
             if (members != null) {
                 members.heard(loop.now(), from, datagram);
-                tell();
+                informDecision();
             }
         });
         tick(members);
     }
 
-    private void tick(Members of) {
-        if (of == members) {
+    private void tick(Members expected) {
+        if (expected == members) {
             members.tick(loop.now());
-            tell();
-            loop.after(TICK_NANOS, () -> tick(of));
+            informDecision();
+            loop.after(TICK_NANOS, () -> tick(expected));
         }
     }
 
     private void changed(Change change) {
         changed = true;
         if (change.kind() == Change.Kind.FAILED) {
-            detectNanos = members.view().stream()
+            detectionNanos = members.view().stream()
                     .filter(one -> one.name().equals(change.member()) && one.heardNanos() != 0)
                     .mapToLong(one -> loop.now() - one.heardNanos())
                     .findFirst()
-                    .orElse(detectNanos);
+                    .orElse(detectionNanos);
         }
         lastChange =
                 change.kind().word() + " name=" + change.member() + " number=" + change.number() + " " + change.why();
@@ -153,34 +153,34 @@
     }
 
     /** Informs the decision module about changes of the ring neighbours' state and of the trust in this view. */
-    private void tell() {
+    private void informDecision() {
         int routers = config.settings().routers();
-        if (!changed || routers < LEAST_ROUTERS) {
+        if (!changed || routers < MIN_ROUTERS) {
             return;
         }
         changed = false;
-        Trust now = switch (members.doubt()) {
+        Trust newTrust = switch (members.doubt()) {
             case NONE -> Trust.FULL;
             case STARTING -> Trust.OWN;
             case MINORITY -> settings.keeps() ? Trust.OWN : Trust.NONE;
             case PAUSED, UNHEARD -> Trust.NONE;
         };
-        Map<Integer, Sight> seen = new HashMap<>();
+        Map<Integer, Sight> current = new HashMap<>();
         for (MemberView member : members.view()) {
             // Several members may have the same number; the number counts as present if any of them is.
-            seen.merge(
+            current.merge(
                     member.number(),
                     member.state().isGone() ? Sight.GONE : Sight.THERE,
                     (one, other) -> one == Sight.THERE ? one : other);
         }
         int me = config.settings().me();
         for (int peer : new int[] {(me + 1) % routers, (me + routers - 1) % routers}) {
-            Sight sight = seen.getOrDefault(peer, Sight.UNKNOWN);
-            if (sights.put(peer, sight) != sight || now != trust) {
-                decision.accept(new TierSeen(peer, sight, now));
+            Sight sight = current.getOrDefault(peer, Sight.UNKNOWN);
+            if (reportedSights.put(peer, sight) != sight || newTrust != trust) {
+                decision.accept(new TierSeen(peer, sight, newTrust));
             }
         }
-        trust = now;
+        trust = newTrust;
     }
 
     /** Returns the numbers of the routers that are present, including this one. */
@@ -214,7 +214,7 @@
         counts.gauge("tier_alive", () -> members == null ? 0 : 1 + count(State.ALIVE))
                 .gauge("tier_suspect", () -> count(State.SUSPECT))
                 .gauge("tier_failed", () -> count(State.FAILED))
-                .gauge("tier_detect_ms", () -> (int) Math.min(Integer.MAX_VALUE, detectNanos / Clock.MILLI))
+                .gauge("tier_detect_ms", () -> (int) Math.min(Integer.MAX_VALUE, detectionNanos / Clock.MILLI))
                 .gauge("tier_doubt", () -> members == null || members.doubt() == LocalHealthIssue.NONE ? 0 : 1)
                 .gauge(
                         "tier_not_heard",
@@ -233,9 +233,9 @@
         if (members == null) {
             return new JSONObject().put("name", config.name()).put("talks", false);
         }
-        JSONArray all = new JSONArray();
+        JSONArray list = new JSONArray();
         for (MemberView one : members.view()) {
-            all.put(new JSONObject()
+            list.put(new JSONObject()
                     .put("name", one.name())
                     .put("number", one.number())
                     .put("place", String.valueOf(one.place()))
@@ -266,14 +266,14 @@
                 .put("view", Integer.toHexString(members.digest()))
                 .put("twice", members.isTwice())
                 .put("present", members.present())
-                .put("members", all)
+                .put("members", list)
                 .put("last_change", lastChange)
                 .put("traffic", traffic)
-                .put("not_heard", new JSONArray(silent()));
+                .put("not_heard", new JSONArray(silentMembers()));
     }
 
     /** Returns the names of the members that this router monitors and has received nothing from. */
-    private List<String> silent() {
+    private List<String> silentMembers() {
         List<String> silent = new ArrayList<>();
         for (MemberView one : members.view()) {
             if (members.isSilent(one.name())) {
