--- a/src/main/java/slateseam/tier/agreement/Raft.java
+++ b/src/main/java/slateseam/tier/agreement/Raft.java
@@ -12,13 +12,13 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 import slateseam.tier.agreement.Rpc.AppendEntries;
-import slateseam.tier.agreement.Rpc.Appended;
+import slateseam.tier.agreement.Rpc.AppendReply;
 import slateseam.tier.agreement.Rpc.Head;
 import slateseam.tier.agreement.Rpc.InstallSnapshot;
 import slateseam.tier.agreement.Rpc.Recall;
-import slateseam.tier.agreement.Rpc.Recalled;
+import slateseam.tier.agreement.Rpc.RecallReply;
 import slateseam.tier.agreement.Rpc.RequestVote;
-import slateseam.tier.agreement.Rpc.Vote;
+import slateseam.tier.agreement.Rpc.VoteReply;
 
 /**
  * A Raft node (Ongaro 2014, with pre-vote, check-quorum, snapshots, and single-server membership changes). The caller passes in the
@@ -386,9 +386,9 @@
         recordReport(message);
         if (message instanceof Recall) {
             Report had = reports.getOrDefault(head.from(), new Report(0, 0));
-            port.send(head.from(), new Recalled(head(head.from()), had.term, had.match));
-        } else if (message instanceof Recalled r) {
-            onRecalled(r);
+            port.send(head.from(), new RecallReply(head(head.from()), had.term, had.match));
+        } else if (message instanceof RecallReply r) {
+            onRecallReply(r);
         } else if (role == Role.UNSURE) {
             checkRecallTimeout(message);
         } else {
@@ -397,7 +397,7 @@
         endCall();
     }
 
-    private void onRecalled(Recalled r) {
+    private void onRecallReply(RecallReply r) {
         if (r.heardTerm() > stable.term() || r.heardTerm() == stable.term() && r.match() > stable.lastIndex()) {
             loseMemory("router " + r.head().from().router() + " received term " + r.heardTerm() + ", entry " + r.match()
                     + " from this voter, whose state has term " + stable.term() + ", entry " + stable.lastIndex());
@@ -425,9 +425,9 @@
     }
 
     private void recordReport(Rpc message) {
-        boolean pre = message instanceof RequestVote r && r.pre() || message instanceof Vote v && v.pre();
-        if (!pre && !(message instanceof Recall) && !(message instanceof Recalled)) {
-            long match = message instanceof Appended a && a.fitted() ? a.match() : 0;
+        boolean pre = message instanceof RequestVote r && r.pre() || message instanceof VoteReply v && v.pre();
+        if (!pre && !(message instanceof Recall) && !(message instanceof RecallReply)) {
+            long match = message instanceof AppendReply a && a.matches() ? a.match() : 0;
             reports.merge(message.head().from(), new Report(message.head().term(), match), Report::merge);
         }
     }
@@ -435,14 +435,14 @@
     private void dispatch(Rpc message) {
         if (message instanceof RequestVote r) {
             onRequestVote(r);
-        } else if (message instanceof Vote r) {
-            onVote(r);
+        } else if (message instanceof VoteReply r) {
+            onVoteReply(r);
         } else if (message instanceof AppendEntries r) {
             onAppendEntries(r);
         } else if (message instanceof InstallSnapshot r) {
             onInstallSnapshot(r);
-        } else if (message instanceof Appended r) {
-            onAppended(r);
+        } else if (message instanceof AppendReply r) {
+            onAppendReply(r);
         }
     }
 
@@ -459,7 +459,7 @@
             boolean would = r.head().term() > stable.term() && !hasLeader() && isUpToDate;
             sendWhenDurable(
                     from,
-                    new Vote(
+                    new VoteReply(
                             new Head(
                                     stable.group(),
                                     self(),
@@ -484,10 +484,10 @@
         if (granted) {
             resetElectionTimer(now);
         }
-        sendWhenDurable(from, new Vote(head(from), false, granted));
+        sendWhenDurable(from, new VoteReply(head(from), false, granted));
     }
 
-    private void onVote(Vote r) {
+    private void onVoteReply(VoteReply r) {
         if (r.pre() && r.granted()) {
             if (role == Role.PRE_CANDIDATE && r.head().term() == stable.term() + 1) {
                 votes.add(r.head().from());
@@ -509,7 +509,7 @@
     private boolean acceptLeader(Rpc message) {
         Head head = message.head();
         if (head.term() < stable.term()) {
-            sendWhenDurable(head.from(), new Appended(head(head.from()), false, 0, 0));
+            sendWhenDurable(head.from(), new AppendReply(head(head.from()), false, 0, 0));
             return false;
         }
         becomeFollower(head.term(), head.from());
@@ -525,7 +525,8 @@
         long before = r.previousIndex();
         if (before > stable.lastIndex()
                 || before >= stable.snapshotIndex() && stable.termAt(before) != r.previousTerm()) {
-            sendWhenDurable(from, new Appended(head(from), false, Math.min(before - 1, stable.lastIndex()), r.round()));
+            sendWhenDurable(
+                    from, new AppendReply(head(from), false, Math.min(before - 1, stable.lastIndex()), r.round()));
             return;
         }
         long index = before;
@@ -547,7 +548,7 @@
         commit = Math.max(commit, Math.min(r.commit(), index));
         applyCommitted();
         role = isVoter() ? Role.FOLLOWER : Role.LEARNER;
-        sendWhenDurable(from, new Appended(head(from), true, index, r.round()));
+        sendWhenDurable(from, new AppendReply(head(from), true, index, r.round()));
     }
 
     private void onInstallSnapshot(InstallSnapshot r) {
@@ -567,11 +568,11 @@
         boolean fits = has || state != null;
         sendWhenDurable(
                 from,
-                new Appended(
+                new AppendReply(
                         head(from), fits, fits ? r.index() : Math.min(r.index() - 1, stable.lastIndex()), r.round()));
     }
 
-    private void onAppended(Appended r) {
+    private void onAppendReply(AppendReply r) {
         if (r.head().term() > stable.term()) {
             becomeFollower(r.head().term(), null);
             return;
@@ -584,7 +585,7 @@
         }
         one.answeredRound = Math.max(one.answeredRound, r.round());
         one.answeredAt = now;
-        if (r.fitted()) {
+        if (r.matches()) {
             one.matchRound = Math.max(one.matchRound, r.round());
             one.match = Math.max(one.match, r.match());
             one.next = Math.max(one.next, one.match + 1);
@@ -596,7 +597,7 @@
             one.next = Math.max(one.match + 1, Math.min(one.next - 1, r.match() + 1));
             if (r.match() < one.match && r.round() > one.matchRound) {
                 // The follower has lost entries that it had confirmed. Tells it so, and it gives up its voter identity.
-                port.send(r.head().from(), new Recalled(head(r.head().from()), stable.term(), one.match));
+                port.send(r.head().from(), new RecallReply(head(r.head().from()), stable.term(), one.match));
             }
         }
         advanceCommit();
--- a/src/main/java/slateseam/tier/agreement/Rpc.java
+++ b/src/main/java/slateseam/tier/agreement/Rpc.java
@@ -42,7 +42,7 @@
     record RequestVote(Head head, boolean pre, long lastIndex, long lastTerm) implements Rpc {}
 
     /** Answers a {@link RequestVote}. */
-    record Vote(Head head, boolean pre, boolean granted) implements Rpc {}
+    record VoteReply(Head head, boolean pre, boolean granted) implements Rpc {}
 
     /**
      * Replicates the entries that follow a previous entry, which the receiver must already have; without entries it is a heartbeat.
@@ -58,12 +58,12 @@
     /**
      * Answers {@link AppendEntries} and {@link InstallSnapshot}.
      *
-     * @param fitted whether the receiver's log matched or the snapshot is installed
-     * @param match if {@code fitted}, the highest index up to which the receiver's log equals the leader's; otherwise the highest index up
+     * @param matches whether the receiver's log matched or the snapshot is installed
+     * @param match if {@code matches}, the highest index up to which the receiver's log equals the leader's; otherwise the highest index up
      *     to which both may be equal
      * @param round round of the message that is answered
      */
-    record Appended(Head head, boolean fitted, long match, long round) implements Rpc {}
+    record AppendReply(Head head, boolean matches, long match, long round) implements Rpc {}
 
     /**
      * Tells a follower that the entries up to an index have been replaced by a snapshot, which is to be fetched by its hash.
@@ -89,7 +89,7 @@
      * @param heardTerm the latest term of a message from the voter that asks
      * @param match the highest log index that the voter that asks confirmed in that term
      */
-    record Recalled(Head head, long heardTerm, long match) implements Rpc {}
+    record RecallReply(Head head, long heardTerm, long match) implements Rpc {}
 
     /** Encodes the message as a datagram. */
     default byte[] encode() {
@@ -100,7 +100,7 @@
         out.putLong(head().term());
         if (this instanceof RequestVote r) {
             out.put((byte) (r.pre ? 1 : 0)).putLong(r.lastIndex).putLong(r.lastTerm);
-        } else if (this instanceof Vote r) {
+        } else if (this instanceof VoteReply r) {
             out.put((byte) (r.pre ? 1 : 0)).put((byte) (r.granted ? 1 : 0));
         } else if (this instanceof AppendEntries r) {
             out.putLong(r.previousIndex)
@@ -109,8 +109,8 @@
                     .putLong(r.round)
                     .put((byte) r.entries.size());
             r.entries.forEach(entry -> entry.put(out));
-        } else if (this instanceof Appended r) {
-            out.put((byte) (r.fitted ? 1 : 0)).putLong(r.match).putLong(r.round);
+        } else if (this instanceof AppendReply r) {
+            out.put((byte) (r.matches ? 1 : 0)).putLong(r.match).putLong(r.round);
         } else if (this instanceof InstallSnapshot r) {
             out.putLong(r.index)
                     .putLong(r.lastTerm)
@@ -120,7 +120,7 @@
                     .putInt(r.length)
                     .put((byte) r.seats.size());
             r.seats.forEach(seat -> seat.put(out));
-        } else if (this instanceof Recalled r) {
+        } else if (this instanceof RecallReply r) {
             out.putLong(r.heardTerm).putLong(r.match);
         }
         byte[] bytes = java.util.Arrays.copyOf(out.array(), out.position());
@@ -131,11 +131,11 @@
     private int kind() {
         return this instanceof RequestVote
                 ? 0
-                : this instanceof Vote
+                : this instanceof VoteReply
                         ? 1
                         : this instanceof AppendEntries
                                 ? 2
-                                : this instanceof Appended
+                                : this instanceof AppendReply
                                         ? 3
                                         : this instanceof InstallSnapshot ? 4 : this instanceof Recall ? 5 : 6;
     }
@@ -160,7 +160,7 @@
             Head head = new Head(in.getLong(), Voter.get(in), Voter.get(in), in.getLong());
             Rpc rpc = switch (bytes[2]) {
                 case 0 -> new RequestVote(head, in.get() != 0, in.getLong(), in.getLong());
-                case 1 -> new Vote(head, in.get() != 0, in.get() != 0);
+                case 1 -> new VoteReply(head, in.get() != 0, in.get() != 0);
                 case 2 -> {
                     long[] numbers = {in.getLong(), in.getLong(), in.getLong(), in.getLong()};
                     List<Entry> entries = new ArrayList<>();
@@ -169,7 +169,7 @@
                     }
                     yield new AppendEntries(head, numbers[0], numbers[1], numbers[2], numbers[3], entries);
                 }
-                case 3 -> new Appended(head, in.get() != 0, in.getLong(), in.getLong());
+                case 3 -> new AppendReply(head, in.get() != 0, in.getLong(), in.getLong());
                 case 4 -> {
                     long[] numbers = {in.getLong(), in.getLong(), in.getLong()};
                     byte[] hash = new byte[in.get()];
@@ -182,7 +182,7 @@
                     yield new InstallSnapshot(head, numbers[0], numbers[1], numbers[2], hash, length, seats);
                 }
                 case 5 -> new Recall(head);
-                case 6 -> new Recalled(head, in.getLong(), in.getLong());
+                case 6 -> new RecallReply(head, in.getLong(), in.getLong());
                 default -> null;
             };
             return in.hasRemaining() ? null : rpc;
--- a/src/test/java/slateseam/tier/agreement/RaftExplorationTest.java
+++ b/src/test/java/slateseam/tier/agreement/RaftExplorationTest.java
@@ -24,8 +24,8 @@
     private static final int ELECTIONS = 2;
     private static final int PROPOSALS = 2;
     private static final int RESTARTS = 1;
-    private static final int BEATS = 1;
-    private static final int MOST_UNDER_WAY = 5;
+    private static final int HEARTBEATS = 1;
+    private static final int MAX_MESSAGES_IN_FLIGHT = 5;
 
     /**
      * One step of an execution.
@@ -36,18 +36,18 @@
     private record Step(int kind, int at) {}
 
     /** Three routers and the messages between them, on which a path of steps is executed from the initial state. */
-    private static final class Play {
+    private static final class Execution {
         final Raft[] rafts = new Raft[VOTERS];
         final List<List<DurableState.Change>> disks = new ArrayList<>();
         final long[] clocks = new long[VOTERS];
-        final List<Rpc> underWay = new ArrayList<>();
+        final List<Rpc> inFlight = new ArrayList<>();
         final List<List<String>> applied = new ArrayList<>();
-        final List<String> all = new ArrayList<>();
+        final List<String> committed = new ArrayList<>();
         final Map<Long, Integer> leaders = new HashMap<>();
         final int[] counts = new int[5];
-        String broken;
+        String violation;
 
-        Play(List<Step> path) {
+        Execution(List<Step> path) {
             List<Voter> seats = new ArrayList<>();
             for (int i = 0; i < VOTERS; i++) {
                 seats.add(new Voter(i, 1));
@@ -70,7 +70,7 @@
             rafts[i] = new Raft(SETTINGS, stable, fromDisk, clocks[i], () -> 0L, new RaftPort() {
                 @Override
                 public void send(Voter to, Rpc message) {
-                    underWay.add(message);
+                    inFlight.add(message);
                 }
 
                 @Override
@@ -86,10 +86,11 @@
                     String text = entry.kind() + "" + entry.term() + Arrays.toString(entry.body());
                     List<String> own = applied.get(i);
                     own.add(text);
-                    if (all.size() < own.size()) {
-                        all.add(text);
-                    } else if (!all.get(own.size() - 1).equals(text)) {
-                        broken = "router " + i + " applies " + text + " where " + all.get(own.size() - 1) + " was";
+                    if (committed.size() < own.size()) {
+                        committed.add(text);
+                    } else if (!committed.get(own.size() - 1).equals(text)) {
+                        violation = "router " + i + " applies " + text + " at the index of "
+                                + committed.get(own.size() - 1);
                     }
                 }
 
@@ -113,7 +114,7 @@
 
                 @Override
                 public void memoryLost(String why) {
-                    broken = "router " + i + ": " + why;
+                    violation = "router " + i + ": " + why;
                 }
             });
         }
@@ -123,7 +124,7 @@
             counts[step.kind]++;
             switch (step.kind) {
                 case 0 -> {
-                    Rpc message = underWay.remove(at);
+                    Rpc message = inFlight.remove(at);
                     int to = message.head().to().router();
                     rafts[to].heard(clocks[to], message);
                 }
@@ -147,7 +148,7 @@
                         if (other != at) {
                             rafts[at].heard(
                                     clocks[at],
-                                    new Rpc.Recalled(
+                                    new Rpc.RecallReply(
                                             new Rpc.Head(GROUP, rafts[other].self(), rafts[at].self(), 0), 0, 0));
                         }
                     }
@@ -161,17 +162,19 @@
             for (int i = 0; i < VOTERS; i++) {
                 if (rafts[i].role() == Raft.Role.LEADER
                         && !leaders.computeIfAbsent(rafts[i].term(), x -> -1).equals(i)) {
-                    broken = leaders.put(rafts[i].term(), i) == -1 ? broken : "two lead in term " + rafts[i].term();
+                    violation = leaders.put(rafts[i].term(), i) == -1
+                            ? violation
+                            : "two leaders in term " + rafts[i].term();
                 }
             }
-            while (underWay.size() > MOST_UNDER_WAY) {
-                underWay.remove(0); // lost
+            while (inFlight.size() > MAX_MESSAGES_IN_FLIGHT) {
+                inFlight.remove(0); // lost
             }
         }
 
-        List<Step> next() {
+        List<Step> enabledSteps() {
             List<Step> steps = new ArrayList<>();
-            for (int i = 0; i < underWay.size(); i++) {
+            for (int i = 0; i < inFlight.size(); i++) {
                 steps.add(new Step(0, i));
             }
             for (int i = 0; i < VOTERS; i++) {
@@ -186,7 +189,7 @@
                 if (counts[3] < RESTARTS && counts[1] > 0) {
                     steps.add(new Step(3, i));
                 }
-                if (leads && counts[4] < BEATS) {
+                if (leads && counts[4] < HEARTBEATS) {
                     steps.add(new Step(4, i));
                 }
             }
@@ -194,12 +197,12 @@
         }
 
         /** Returns a key of the state. States with equal keys have the same continuations; the order of messages in flight is ignored. */
-        String key() {
-            StringBuilder text = new StringBuilder(Arrays.toString(counts)).append(all);
+        String stateKey() {
+            StringBuilder text = new StringBuilder(Arrays.toString(counts)).append(committed);
             for (Raft raft : rafts) {
                 text.append(raft.fingerprint()).append(';');
             }
-            underWay.stream()
+            inFlight.stream()
                     .map(message -> Arrays.toString(message.encode()))
                     .sorted()
                     .forEach(text::append);
@@ -208,62 +211,62 @@
     }
 
     /** Explores breadth-first up to a depth or number of states; returns the first path that violates a rule, or the number of states. */
-    private static String explore(int depth, int most) {
-        Deque<List<Step>> open = new ArrayDeque<>(List.of(List.of()));
+    private static String explore(int depth, int maxStates) {
+        Deque<List<Step>> unexplored = new ArrayDeque<>(List.of(List.of()));
         Set<Long> seen = new HashSet<>();
         int deepest = 0;
-        while (!open.isEmpty() && seen.size() < most) {
-            List<Step> path = open.poll();
-            Play play = new Play(path);
-            if (play.broken != null) {
-                return path + ": " + play.broken;
+        while (!unexplored.isEmpty() && seen.size() < maxStates) {
+            List<Step> path = unexplored.poll();
+            Execution execution = new Execution(path);
+            if (execution.violation != null) {
+                return path + ": " + execution.violation;
             }
-            String key = play.key();
+            String key = execution.stateKey();
             if (path.size() >= depth
                     || !seen.add(((long) key.hashCode() << 32)
                             ^ key.chars().asLongStream().reduce(7, (a, b) -> a * 1_000_003 + b))) {
                 continue;
             }
             deepest = Math.max(deepest, path.size());
-            for (Step step : play.next()) {
+            for (Step step : execution.enabledSteps()) {
                 List<Step> longer = new ArrayList<>(path);
                 longer.add(step);
-                open.add(longer);
+                unexplored.add(longer);
             }
         }
         return "held in " + seen.size() + " states, " + deepest + " steps deep"
-                + (open.isEmpty() ? "" : ", " + open.size() + " open");
+                + (unexplored.isEmpty() ? "" : ", " + unexplored.size() + " unexplored");
     }
 
     /** Follows random paths, which are far longer than those of the exhaustive exploration. */
-    private static String walk(int walks, int depth) {
+    private static String randomWalks(int walks, int depth) {
         java.util.SplittableRandom random = new java.util.SplittableRandom(1);
         for (int i = 0; i < walks; i++) {
             List<Step> path = new ArrayList<>();
-            Play play = new Play(path);
-            while (path.size() < depth && play.broken == null) {
-                List<Step> next = play.next();
-                if (next.isEmpty()) {
+            Execution execution = new Execution(path);
+            while (path.size() < depth && execution.violation == null) {
+                List<Step> steps = execution.enabledSteps();
+                if (steps.isEmpty()) {
                     break;
                 }
-                Step step = next.get(random.nextInt(next.size()));
+                Step step = steps.get(random.nextInt(steps.size()));
                 path.add(step);
-                play.step(step);
+                execution.step(step);
             }
-            if (play.broken != null) {
-                return path + ": " + play.broken;
+            if (execution.violation != null) {
+                return path + ": " + execution.violation;
             }
         }
         return "held in " + walks + " walks";
     }
 
     @Test
-    void nothingBreaksOnLongWalks() {
-        assertThat(walk(20_000, 60)).startsWith("held in ");
+    void rulesHoldOnLongRandomPaths() {
+        assertThat(randomWalks(20_000, 60)).startsWith("held in ");
     }
 
     @Test
-    void nothingBreaksInWhateverOrderMessagesCome() {
+    void rulesHoldForAllMessageOrdersWithinTheBounds() {
         assertThat(explore(9, 40_000)).startsWith("held in ");
     }
 
