--- a/src/main/java/slateseam/router/tier/SharedPolicy.java
+++ b/src/main/java/slateseam/router/tier/SharedPolicy.java
@@ -81,12 +81,12 @@
     /**
      * Starts to take part in the policy protocol, or stops without notice.
      *
-     * @param by sends and receives the datagrams; null to stop because another process takes over this router
+     * @param newPeers sends and receives the datagrams; null to stop because another process takes over this router
      */
-    public void talk(Peers by) {
-        peers = by;
+    public void talk(Peers newPeers) {
+        peers = newPeers;
         policy = null;
-        if (by == null) {
+        if (newPeers == null) {
             return;
         }
         PolicySettings defaults =
@@ -104,7 +104,7 @@
                 new SplittableRandom(config.seed() ^ SEED ^ loop.now()),
                 this);
         for (byte first : Policy.firstBytes()) {
-            by.divert(first, this::heard);
+            newPeers.divert(first, this::heard);
         }
         tick(policy);
     }
@@ -299,20 +299,20 @@
             return all;
         }
         JSONArray versions = new JSONArray();
-        for (Version one : policy.versions().all()) {
+        for (Version version : policy.versions().all()) {
             versions.put(new JSONObject()
-                    .put("version", one.number())
-                    .put("name", one.name())
-                    .put("state", one.state().word())
-                    .put("cause", one.cause())
-                    .put("bytes", one.length())
-                    .put("all", one.all())
-                    .put("stale", one.stale())
-                    .put("watch_s", one.watchSeconds())
-                    .put("points", one.boundPoints())
-                    .put("proposer", one.proposer())
-                    .put("at_ms", one.atMillis())
-                    .put("undoes", one.undoes()));
+                    .put("version", version.number())
+                    .put("name", version.name())
+                    .put("state", version.state().word())
+                    .put("cause", version.cause())
+                    .put("bytes", version.length())
+                    .put("all", version.all())
+                    .put("stale", version.stale())
+                    .put("watch_s", version.watchSeconds())
+                    .put("points", version.boundPoints())
+                    .put("proposer", version.proposer())
+                    .put("at_ms", version.atMillis())
+                    .put("undoes", version.undoes()));
         }
         Raft raft = policy.raft();
         Version held = policy.held();
--- a/src/main/java/slateseam/router/tier/Tier.java
+++ b/src/main/java/slateseam/router/tier/Tier.java
@@ -77,14 +77,14 @@
     /**
      * Joins the tier as a newly started member, or stops without notice.
      *
-     * @param by sends and receives the datagrams; null to stop because another process takes over this router
+     * @param newPeers sends and receives the datagrams; null to stop because another process takes over this router
      */
-    public void talk(Peers by) {
-        peers = by;
+    public void talk(Peers newPeers) {
+        peers = newPeers;
         members = null;
         reportedSights.clear();
         trust = Trust.FULL;
-        if (by == null) {
+        if (newPeers == null) {
             return;
         }
         MembersSettings defaults = MembersSettings.usual(
@@ -117,7 +117,7 @@
                         Tier.this.changed(change);
                     }
                 });
-        by.divert(Members.firstByte(), (from, datagram) -> {
+        newPeers.divert(Members.firstByte(), (from, datagram) -> {
             if (members != null) {
                 members.heard(loop.now(), from, datagram);
                 informDecision();
@@ -138,8 +138,8 @@
         changed = true;
         if (change.kind() == Change.Kind.FAILED) {
             detectionNanos = members.view().stream()
-                    .filter(one -> one.name().equals(change.member()) && one.heardNanos() != 0)
-                    .mapToLong(one -> loop.now() - one.heardNanos())
+                    .filter(member -> member.name().equals(change.member()) && member.heardNanos() != 0)
+                    .mapToLong(member -> loop.now() - member.heardNanos())
                     .findFirst()
                     .orElse(detectionNanos);
         }
@@ -171,7 +171,7 @@
             current.merge(
                     member.number(),
                     member.state().isGone() ? Sight.GONE : Sight.THERE,
-                    (one, other) -> one == Sight.THERE ? one : other);
+                    (first, second) -> first == Sight.THERE ? first : second);
         }
         int me = config.settings().me();
         for (int peer : new int[] {(me + 1) % routers, (me + routers - 1) % routers}) {
@@ -205,7 +205,7 @@
         return members == null
                 ? 0
                 : (int) members.view().stream()
-                        .filter(one -> one.state() == state)
+                        .filter(member -> member.state() == state)
                         .count();
     }
 
@@ -221,7 +221,8 @@
                         () -> members == null
                                 ? 0
                                 : (int) members.view().stream()
-                                        .filter(one -> one.state() == State.ALIVE && members.isSilent(one.name()))
+                                        .filter(member ->
+                                                member.state() == State.ALIVE && members.isSilent(member.name()))
                                         .count());
         for (Traffic traffic : Traffic.values()) {
             counts.total("tier_" + traffic.word(), () -> members == null ? 0 : members.count(traffic));
@@ -234,27 +235,27 @@
             return new JSONObject().put("name", config.name()).put("talks", false);
         }
         JSONArray list = new JSONArray();
-        for (MemberView one : members.view()) {
+        for (MemberView member : members.view()) {
             list.put(new JSONObject()
-                    .put("name", one.name())
-                    .put("number", one.number())
-                    .put("place", String.valueOf(one.place()))
-                    .put("state", one.state().word())
-                    .put("reach", one.reach().word())
-                    .put("life", one.life())
-                    .put("incarnation", one.incarnation())
-                    .put("since_ms", one.sinceNanos() / Clock.MILLI)
-                    .put("by", one.by())
+                    .put("name", member.name())
+                    .put("number", member.number())
+                    .put("place", String.valueOf(member.place()))
+                    .put("state", member.state().word())
+                    .put("reach", member.reach().word())
+                    .put("life", member.life())
+                    .put("incarnation", member.incarnation())
+                    .put("since_ms", member.sinceNanos() / Clock.MILLI)
+                    .put("by", member.by())
                     .put(
                             "heard_ms_ago",
-                            one.reach() == Reach.NOT_HEARD || one.heardNanos() == 0
+                            member.reach() == Reach.NOT_HEARD || member.heardNanos() == 0
                                     ? -1
-                                    : (loop.now() - one.heardNanos()) / Clock.MILLI)
-                    .put("silent_here", members.isSilent(one.name())));
+                                    : (loop.now() - member.heardNanos()) / Clock.MILLI)
+                    .put("silent_here", members.isSilent(member.name())));
         }
         JSONObject traffic = new JSONObject();
-        for (Traffic one : Traffic.values()) {
-            traffic.put(one.word(), members.count(one));
+        for (Traffic kind : Traffic.values()) {
+            traffic.put(kind.word(), members.count(kind));
         }
         return new JSONObject()
                 .put("name", config.name())
@@ -275,9 +276,9 @@
     /** Returns the names of the members that this router monitors and has received nothing from. */
     private List<String> silentMembers() {
         List<String> silent = new ArrayList<>();
-        for (MemberView one : members.view()) {
-            if (members.isSilent(one.name())) {
-                silent.add(one.name());
+        for (MemberView member : members.view()) {
+            if (members.isSilent(member.name())) {
+                silent.add(member.name());
             }
         }
         return silent;
--- a/src/main/java/slateseam/tier/agreement/Leadership.java
+++ b/src/main/java/slateseam/tier/agreement/Leadership.java
@@ -102,8 +102,8 @@
     private long majorityValue(List<Voter> seats, long own, ToLongFunction<Progress> value) {
         List<Long> all = new ArrayList<>();
         for (Voter seat : seats) {
-            Progress one = progress.get(seat);
-            all.add(seat.equals(self) ? own : one == null ? 0 : value.applyAsLong(one));
+            Progress follower = progress.get(seat);
+            all.add(seat.equals(self) ? own : follower == null ? 0 : value.applyAsLong(follower));
         }
         all.sort(Comparator.reverseOrder());
         return all.get(all.size() / 2);
@@ -111,20 +111,20 @@
 
     /** Returns the highest index up to which a majority has the log. */
     long majorityMatch(List<Voter> seats, long own) {
-        return majorityValue(seats, own, one -> one.match);
+        return majorityValue(seats, own, follower -> follower.match);
     }
 
     /** Returns whether a majority has answered since the given time (check-quorum). */
     boolean hasMajorityAnswered(List<Voter> seats, long now, long since) {
-        return majorityValue(seats, now, one -> one.answeredAt) >= since;
+        return majorityValue(seats, now, follower -> follower.answeredAt) >= since;
     }
 
     /**
-     * Returns the send time of the latest round that a majority has answered: at that time no other leader had been elected. Returns -1
-     * if no such round is known or the leader does not know the commit index yet.
+     * Returns the send time of the latest round that a majority has answered: at that time no leader of a later term had been elected.
+     * Returns -1 if no such round is known or the leader does not know the commit index yet.
      */
     long provenAt(List<Voter> seats) {
-        long answered = majorityValue(seats, round, one -> one.answeredRound);
+        long answered = majorityValue(seats, round, follower -> follower.answeredRound);
         return answered >= readyRound ? sentAt.getOrDefault(answered, -1L) : -1;
     }
 }
