--- a/src/main/java/slateseam/router/tier/SharedPolicy.java
+++ b/src/main/java/slateseam/router/tier/SharedPolicy.java
@@ -27,11 +27,17 @@
 import slateseam.tier.policy.PolicySettings;
 import slateseam.tier.policy.Version;
 
-/** This router's part in the policy of the tier, on its loop. What holds is handed to the router; whether it may serve is asked of it. */
+/**
+ * Runs this router's part in the tier's shared policy on the router's event loop. Applies the policy version in force to the router's
+ * settings and tells the router whether it may serve requests.
+ */
 public final class SharedPolicy implements PolicyPort {
+    /** Interval between two ticks of the policy protocol. */
     private static final long TICK_NANOS = 50 * Clock.MILLI;
+    /** Makes the random sequence used here differ from those of other parts of the router, which have the same configured seed. */
     private static final long SEED = 0x706f6c6963793031L;
-    private static final int MOST_PROPOSAL = 2 * PolicyDocument.MOST_BYTES;
+    /** Maximum size of the proposal file in bytes: room for a document of maximum size as an escaped JSON string, and other fields. */
+    private static final int MAX_PROPOSAL_BYTES = 2 * PolicyDocument.MOST_BYTES;
 
     private final Features.Policy settings;
     private final NodeConfig config;
@@ -39,19 +45,21 @@
     private final Tier tier;
     private final Supplier<Tally> tally;
     private final Consumer<NodeConfig> adopt;
-    /** The router's own file: what it is by itself. */
-    private NodeConfig own;
-    /** Null while another process speaks for this router. */
+    /** The settings of the router's own file, without the shared policy. */
+    private NodeConfig ownConfig;
+    /** Null before the start and while another process acts for this router. */
     private Policy policy;
 
     private Peers peers;
+    /** The policy document applied last; empty if there is none. */
     private byte[] document = new byte[0];
-    private Version asked;
+    /** The version proposed last by an operator at this router, or null. */
+    private Version lastProposed;
 
     /**
-     * Prepares it; it serves nothing before it talks.
+     * Creates a stopped instance, which permits no requests until {@link #talk} is called.
      *
-     * @param tally what was asked and served since the start
+     * @param tally supplies the numbers of requests received, served and refused since the start
      * @param adopt puts settings in force
      */
     public SharedPolicy(
@@ -63,36 +71,40 @@
             Consumer<NodeConfig> adopt) {
         this.settings = settings;
         this.config = config;
-        this.own = config;
+        this.ownConfig = config;
         this.loop = loop;
         this.tier = tier;
         this.tally = tally;
         this.adopt = adopt;
     }
 
-    /** Begins, by these datagrams; null to fall silent, as another process of this router goes on. */
-    public void talk(Peers by) {
-        peers = by;
+    /**
+     * Starts to take part in the policy protocol, or stops without notice.
+     *
+     * @param newPeers sends and receives the datagrams; null to stop because another process takes over this router
+     */
+    public void talk(Peers newPeers) {
+        peers = newPeers;
         policy = null;
-        if (by == null) {
+        if (newPeers == null) {
             return;
         }
-        PolicySettings usual =
+        PolicySettings defaults =
                 PolicySettings.usual(config.settings().me(), config.settings().routers(), settings.voters());
         policy = new Policy(
                 new PolicySettings(
-                        usual.me(),
-                        usual.routers(),
-                        usual.voters(),
+                        defaults.me(),
+                        defaults.routers(),
+                        defaults.voters(),
                         settings.leaseNanos(),
-                        usual.pollNanos(),
-                        usual.raft()),
+                        defaults.pollNanos(),
+                        defaults.raft()),
                 null,
                 loop.now(),
                 new SplittableRandom(config.seed() ^ SEED ^ loop.now()),
                 this);
         for (byte first : Policy.firstBytes()) {
-            by.divert(first, this::heard);
+            newPeers.divert(first, this::heard);
         }
         tick(policy);
     }
@@ -104,23 +116,23 @@
         }
     }
 
-    private void tick(Policy of) {
-        if (of == policy) {
+    private void tick(Policy expected) {
+        if (expected == policy) {
             policy.view(tier.present(), tier.isTrusted());
             policy.tick(loop.now());
-            loop.after(TICK_NANOS, () -> tick(of));
+            loop.after(TICK_NANOS, () -> tick(expected));
         }
     }
 
-    /** Whether requests that come now may be served. */
+    /** Returns whether requests that arrive now may be served. */
     public boolean mayServe() {
         return policy != null && policy.mayServe(loop.now());
     }
 
-    /** The router's own file has changed: what it is to run by now. */
+    /** Replaces the settings of the router's own file and returns the settings that result with the policy applied on top. */
     public NodeConfig over(NodeConfig changed) throws InvalidConfigException {
         NodeConfig merged = PolicyDocument.over(changed, document);
-        own = changed;
+        ownConfig = changed;
         return merged;
     }
 
@@ -131,12 +143,15 @@
         }
     }
 
-    /** Nothing lasts here: a voter that restarts is another one. */
+    /**
+     * Writes nothing to disk: a voter that restarts takes part under a new identity. Reports each change as durable on the next turn of the
+     * loop.
+     */
     @Override
     public void persist(long number, DurableState.Change change) {
-        Policy of = policy;
+        Policy expected = policy;
         loop.after(0, () -> {
-            if (of != null && of == policy) {
+            if (expected != null && expected == policy) {
                 policy.persisted(number);
             }
         });
@@ -144,13 +159,13 @@
 
     @Override
     public void forget(String why) {
-        // there is nothing that lasts
+        // no state is stored
     }
 
     @Override
     public String check(byte[] bytes) {
         try {
-            PolicyDocument.over(own, bytes);
+            PolicyDocument.over(ownConfig, bytes);
             return null;
         } catch (InvalidConfigException e) {
             return e.getMessage();
@@ -160,7 +175,7 @@
     @Override
     public void holds(Version version, byte[] bytes) {
         try {
-            NodeConfig merged = PolicyDocument.over(own, bytes);
+            NodeConfig merged = PolicyDocument.over(ownConfig, bytes);
             document = bytes;
             adopt.accept(merged);
             loop.log()
@@ -172,7 +187,7 @@
                     .line(
                             "policy-cannot",
                             "version=" + version.number() + " fault=\"" + e.getMessage()
-                                    + "\""); // it was checked just before
+                                    + "\""); // unexpected, because the document was checked before
         }
     }
 
@@ -191,12 +206,12 @@
         return tally.get();
     }
 
-    /** A group begins at this router; why it cannot, or null. */
+    /** Creates a policy group at this router; returns the reason of a failure, or null. */
     public String begin() {
         return policy == null ? "another process speaks for this router" : policy.begin();
     }
 
-    /** Proposes what lies where proposals lie; why it cannot, or null. */
+    /** Proposes the policy document in the configured proposal file; returns the reason of a failure, or null. */
     public String propose() {
         if (policy == null || policy.group() == 0) {
             return policy == null ? "another process speaks for this router" : "there is no group: policy begin";
@@ -205,45 +220,50 @@
             return "policy_proposal names no file";
         }
         try {
-            if (Files.size(settings.proposal()) > MOST_PROPOSAL) {
-                return settings.proposal() + " has over " + MOST_PROPOSAL + " bytes";
+            if (Files.size(settings.proposal()) > MAX_PROPOSAL_BYTES) {
+                return settings.proposal() + " has over " + MAX_PROPOSAL_BYTES + " bytes";
             }
-            JSONObject told = new JSONObject(Files.readString(settings.proposal()));
-            String name = told.getString("name");
-            byte[] bytes = told.getString("document").getBytes(StandardCharsets.UTF_8);
-            int watch = told.optInt("watch_s", 30);
-            int points = told.optInt("points", 10);
+            JSONObject proposal = new JSONObject(Files.readString(settings.proposal()));
+            String name = proposal.getString("name");
+            byte[] bytes = proposal.getString("document").getBytes(StandardCharsets.UTF_8);
+            int watchSeconds = proposal.optInt("watch_s", 30);
+            int points = proposal.optInt("points", 10);
             if (!name.matches("[A-Za-z0-9._-]{1," + Version.MOST_NAME + "}")
-                    || watch < 0
-                    || watch > 3_600
+                    || watchSeconds < 0
+                    || watchSeconds > 3_600
                     || points < 1
                     || points > 100) {
                 return settings.proposal() + ": a name of 1 to " + Version.MOST_NAME
                         + " letters, digits, . _ -, watch_s 0 to 3600, points 1 to 100";
             }
-            String wrong = check(bytes);
-            if (wrong != null) {
-                return wrong;
+            String fault = check(bytes);
+            if (fault != null) {
+                return fault;
             }
-            asked = policy.propose(
-                    name, bytes, told.optBoolean("all", true), told.optBoolean("stale", false), watch, points);
+            lastProposed = policy.propose(
+                    name,
+                    bytes,
+                    proposal.optBoolean("all", true),
+                    proposal.optBoolean("stale", false),
+                    watchSeconds,
+                    points);
             return null;
         } catch (IOException | JSONException e) {
             return settings.proposal() + ": " + e.getMessage();
         }
     }
 
-    /** Proposes to take the newest version back; why it cannot, or null. */
+    /** Proposes to revert the newest version; returns the reason of a failure, or null. */
     public String undo() {
-        asked = policy == null ? null : policy.undo();
-        return asked == null ? "there is no version to take back" : null;
+        lastProposed = policy == null ? null : policy.undo();
+        return lastProposed == null ? "there is no version to take back" : null;
     }
 
     private long age() {
         return policy == null ? -1 : policy.age(loop.now());
     }
 
-    /** Adds its figures. */
+    /** Registers the policy metrics. */
     public void count(Counts counts) {
         counts.gauge(
                         "policy_version",
@@ -264,7 +284,7 @@
                         () -> policy == null ? 0 : (int) policy.raft().term());
     }
 
-    /** All that is known, for operators. */
+    /** Returns the state of the policy for operators. */
     public JSONObject json() {
         JSONObject all = new JSONObject()
                 .put("name", config.name())
@@ -279,24 +299,24 @@
             return all;
         }
         JSONArray versions = new JSONArray();
-        for (Version one : policy.versions().all()) {
+        for (Version version : policy.versions().all()) {
             versions.put(new JSONObject()
-                    .put("version", one.number())
-                    .put("name", one.name())
-                    .put("state", one.state().word())
-                    .put("cause", one.cause())
-                    .put("bytes", one.length())
-                    .put("all", one.all())
-                    .put("stale", one.stale())
-                    .put("watch_s", one.watchSeconds())
-                    .put("points", one.boundPoints())
-                    .put("proposer", one.proposer())
-                    .put("at_ms", one.atMillis())
-                    .put("undoes", one.undoes()));
+                    .put("version", version.number())
+                    .put("name", version.name())
+                    .put("state", version.state().word())
+                    .put("cause", version.cause())
+                    .put("bytes", version.length())
+                    .put("all", version.all())
+                    .put("stale", version.stale())
+                    .put("watch_s", version.watchSeconds())
+                    .put("points", version.boundPoints())
+                    .put("proposer", version.proposer())
+                    .put("at_ms", version.atMillis())
+                    .put("undoes", version.undoes()));
         }
         Raft raft = policy.raft();
         Version held = policy.held();
-        String outcome = asked == null ? null : policy.outcome(asked);
+        String outcome = lastProposed == null ? null : policy.outcome(lastProposed);
         Version open = policy.versions().open();
         return all.put("group", Long.toHexString(policy.group()))
                 .put("role", raft.role().name().toLowerCase(Locale.ROOT))
@@ -318,7 +338,7 @@
                 .put("holds_in_ms", Math.min(Integer.MAX_VALUE, policy.holdsIn(loop.now()) / Clock.MILLI))
                 .put("serves", mayServe())
                 .put("stale", policy.isStale(loop.now()))
-                .put("asked", asked == null ? JSONObject.NULL : asked.name())
+                .put("asked", lastProposed == null ? JSONObject.NULL : lastProposed.name())
                 .put("outcome", outcome == null ? JSONObject.NULL : outcome)
                 .put("versions", versions);
     }
--- a/src/main/java/slateseam/router/tier/Tier.java
+++ b/src/main/java/slateseam/router/tier/Tier.java
@@ -30,31 +30,38 @@
 import slateseam.tier.members.State;
 import slateseam.tier.members.Traffic;
 
-/** This router's view of the tier, on its loop. What it comes to is logged, shown, and told to the decision module. */
+/**
+ * Runs the tier's membership protocol on this router's event loop. Logs membership changes, reports them to operators, and informs the
+ * decision module about this router's ring neighbours.
+ */
 public final class Tier {
+    /** Interval between two ticks of the membership protocol. */
     private static final long TICK_NANOS = 50 * Clock.MILLI;
-    /** So that what is drawn here is not what the decision module draws. */
+    /** Makes the random sequence used here differ from that of the decision module, which has the same configured seed. */
     private static final long SEED = 0x746965726d656d62L;
-    /** Of two routers neither can tell whether the other is gone or only not heard: the ring's own rule holds there. */
-    private static final int LEAST_ROUTERS = 3;
+    /**
+     * Minimum number of routers for which the decision module is informed. Of two routers, neither can tell whether the other has failed or
+     * is only unreachable, so the decision module's own rule for ring neighbours applies.
+     */
+    private static final int MIN_ROUTERS = 3;
 
     private final Features.Tier settings;
     private final NodeConfig config;
     private final Loop loop;
     private final Consumer<Event> decision;
     private Consumer<Change> observer = change -> {};
-    private final Map<Integer, Sight> sights = new HashMap<>();
+    private final Map<Integer, Sight> reportedSights = new HashMap<>();
     private Trust trust = Trust.FULL;
-    /** Null while another process of this router speaks for it. */
+    /** Null before the start and while another process acts for this router. */
     private Peers peers;
 
     private Members members;
     private boolean changed;
     private String lastChange = "none";
-    /** From the last message of the one that was declared failed last until that was known here; 0 for none. */
-    private long detectNanos;
+    /** Detection time of the latest failure: from the last message of the failed member until the failure was known here; 0 for none. */
+    private long detectionNanos;
 
-    /** Prepares it; it says nothing before it talks. */
+    /** Creates a stopped instance, which sends nothing until {@link #talk} is called. */
     public Tier(Features.Tier settings, NodeConfig config, Loop loop, Consumer<Event> decision) {
         this.settings = settings;
         this.config = config;
@@ -62,34 +69,38 @@
         this.decision = decision;
     }
 
-    /** Tells of each change of this router's view, too, from now on. */
-    public void observe(Consumer<Change> told) {
-        observer = told;
+    /** Sets the observer of each further change of this router's membership view, in addition to the log. */
+    public void observe(Consumer<Change> newObserver) {
+        observer = newObserver;
     }
 
-    /** Begins a life, by these datagrams; null to fall silent without a word, as another process of this router goes on. */
-    public void talk(Peers by) {
-        peers = by;
+    /**
+     * Joins the tier as a newly started member, or stops without notice.
+     *
+     * @param newPeers sends and receives the datagrams; null to stop because another process takes over this router
+     */
+    public void talk(Peers newPeers) {
+        peers = newPeers;
         members = null;
-        sights.clear();
+        reportedSights.clear();
         trust = Trust.FULL;
-        if (by == null) {
+        if (newPeers == null) {
             return;
         }
-        MembersSettings own = MembersSettings.usual(
+        MembersSettings defaults = MembersSettings.usual(
                 settings.name(), config.name(), config.settings().me(), config.peers());
         members = new Members(
                 new MembersSettings(
-                        own.tier(),
-                        own.name(),
-                        own.number(),
-                        own.peers(),
+                        defaults.tier(),
+                        defaults.name(),
+                        defaults.number(),
+                        defaults.peers(),
                         settings.periodNanos(),
                         settings.watchers(),
                         6 * settings.periodNanos(),
-                        own.recentNanos(),
+                        defaults.recentNanos(),
                         settings.forgetNanos(),
-                        own.most(),
+                        defaults.most(),
                         settings.toldPlaces()),
                 loop.now(),
                 new SplittableRandom(config.seed() ^ SEED),
@@ -106,31 +117,31 @@
                         Tier.this.changed(change);
                     }
                 });
-        by.divert(Members.firstByte(), (from, datagram) -> {
+        newPeers.divert(Members.firstByte(), (from, datagram) -> {
             if (members != null) {
                 members.heard(loop.now(), from, datagram);
-                tell();
+                informDecision();
             }
         });
         tick(members);
     }
 
-    private void tick(Members of) {
-        if (of == members) {
+    private void tick(Members expected) {
+        if (expected == members) {
             members.tick(loop.now());
-            tell();
-            loop.after(TICK_NANOS, () -> tick(of));
+            informDecision();
+            loop.after(TICK_NANOS, () -> tick(expected));
         }
     }
 
     private void changed(Change change) {
         changed = true;
         if (change.kind() == Change.Kind.FAILED) {
-            detectNanos = members.view().stream()
-                    .filter(one -> one.name().equals(change.member()) && one.heardNanos() != 0)
-                    .mapToLong(one -> loop.now() - one.heardNanos())
+            detectionNanos = members.view().stream()
+                    .filter(member -> member.name().equals(change.member()) && member.heardNanos() != 0)
+                    .mapToLong(member -> loop.now() - member.heardNanos())
                     .findFirst()
-                    .orElse(detectNanos);
+                    .orElse(detectionNanos);
         }
         lastChange =
                 change.kind().word() + " name=" + change.member() + " number=" + change.number() + " " + change.why();
@@ -141,48 +152,48 @@
         observer.accept(change);
     }
 
-    /** Tells the decision module what its ring needs to know. */
-    private void tell() {
+    /** Informs the decision module about changes of the ring neighbours' state and of the trust in this view. */
+    private void informDecision() {
         int routers = config.settings().routers();
-        if (!changed || routers < LEAST_ROUTERS) {
+        if (!changed || routers < MIN_ROUTERS) {
             return;
         }
         changed = false;
-        Trust now = switch (members.doubt()) {
+        Trust newTrust = switch (members.doubt()) {
             case NONE -> Trust.FULL;
             case STARTING -> Trust.OWN;
             case MINORITY -> settings.keeps() ? Trust.OWN : Trust.NONE;
             case PAUSED, UNHEARD -> Trust.NONE;
         };
-        Map<Integer, Sight> seen = new HashMap<>();
+        Map<Integer, Sight> current = new HashMap<>();
         for (MemberView member : members.view()) {
-            // Of several by one number the one that is there.
-            seen.merge(
+            // Several members may have the same number; the number counts as present if any of them is.
+            current.merge(
                     member.number(),
                     member.state().isGone() ? Sight.GONE : Sight.THERE,
-                    (one, other) -> one == Sight.THERE ? one : other);
+                    (first, second) -> first == Sight.THERE ? first : second);
         }
         int me = config.settings().me();
         for (int peer : new int[] {(me + 1) % routers, (me + routers - 1) % routers}) {
-            Sight sight = seen.getOrDefault(peer, Sight.UNKNOWN);
-            if (sights.put(peer, sight) != sight || now != trust) {
-                decision.accept(new TierSeen(peer, sight, now));
+            Sight sight = current.getOrDefault(peer, Sight.UNKNOWN);
+            if (reportedSights.put(peer, sight) != sight || newTrust != trust) {
+                decision.accept(new TierSeen(peer, sight, newTrust));
             }
         }
-        trust = now;
+        trust = newTrust;
     }
 
-    /** The numbers of the routers that are there, this one among them. */
+    /** Returns the numbers of the routers that are present, including this one. */
     public Set<Integer> present() {
         return members == null ? Set.of(config.settings().me()) : members.numbers();
     }
 
-    /** Whether it trusts that. */
+    /** Returns whether {@link #present} is reliable, that is, no local health issue casts doubt on this router's view. */
     public boolean isTrusted() {
         return members != null && members.doubt() == LocalHealthIssue.NONE;
     }
 
-    /** It ends, and says so. */
+    /** Leaves the tier and announces it to the other members. */
     public void leave() {
         if (members != null) {
             members.leave(loop.now());
@@ -194,56 +205,57 @@
         return members == null
                 ? 0
                 : (int) members.view().stream()
-                        .filter(one -> one.state() == state)
+                        .filter(member -> member.state() == state)
                         .count();
     }
 
-    /** Adds its figures. */
+    /** Registers the membership metrics. */
     public void count(Counts counts) {
         counts.gauge("tier_alive", () -> members == null ? 0 : 1 + count(State.ALIVE))
                 .gauge("tier_suspect", () -> count(State.SUSPECT))
                 .gauge("tier_failed", () -> count(State.FAILED))
-                .gauge("tier_detect_ms", () -> (int) Math.min(Integer.MAX_VALUE, detectNanos / Clock.MILLI))
+                .gauge("tier_detect_ms", () -> (int) Math.min(Integer.MAX_VALUE, detectionNanos / Clock.MILLI))
                 .gauge("tier_doubt", () -> members == null || members.doubt() == LocalHealthIssue.NONE ? 0 : 1)
                 .gauge(
                         "tier_not_heard",
                         () -> members == null
                                 ? 0
                                 : (int) members.view().stream()
-                                        .filter(one -> one.state() == State.ALIVE && members.isSilent(one.name()))
+                                        .filter(member ->
+                                                member.state() == State.ALIVE && members.isSilent(member.name()))
                                         .count());
         for (Traffic traffic : Traffic.values()) {
             counts.total("tier_" + traffic.word(), () -> members == null ? 0 : members.count(traffic));
         }
     }
 
-    /** All that is known, for operators. */
+    /** Returns this router's membership view for operators. */
     public JSONObject json() {
         if (members == null) {
             return new JSONObject().put("name", config.name()).put("talks", false);
         }
-        JSONArray all = new JSONArray();
-        for (MemberView one : members.view()) {
-            all.put(new JSONObject()
-                    .put("name", one.name())
-                    .put("number", one.number())
-                    .put("place", String.valueOf(one.place()))
-                    .put("state", one.state().word())
-                    .put("reach", one.reach().word())
-                    .put("life", one.life())
-                    .put("incarnation", one.incarnation())
-                    .put("since_ms", one.sinceNanos() / Clock.MILLI)
-                    .put("by", one.by())
+        JSONArray list = new JSONArray();
+        for (MemberView member : members.view()) {
+            list.put(new JSONObject()
+                    .put("name", member.name())
+                    .put("number", member.number())
+                    .put("place", String.valueOf(member.place()))
+                    .put("state", member.state().word())
+                    .put("reach", member.reach().word())
+                    .put("life", member.life())
+                    .put("incarnation", member.incarnation())
+                    .put("since_ms", member.sinceNanos() / Clock.MILLI)
+                    .put("by", member.by())
                     .put(
                             "heard_ms_ago",
-                            one.reach() == Reach.NOT_HEARD || one.heardNanos() == 0
+                            member.reach() == Reach.NOT_HEARD || member.heardNanos() == 0
                                     ? -1
-                                    : (loop.now() - one.heardNanos()) / Clock.MILLI)
-                    .put("silent_here", members.isSilent(one.name())));
+                                    : (loop.now() - member.heardNanos()) / Clock.MILLI)
+                    .put("silent_here", members.isSilent(member.name())));
         }
         JSONObject traffic = new JSONObject();
-        for (Traffic one : Traffic.values()) {
-            traffic.put(one.word(), members.count(one));
+        for (Traffic kind : Traffic.values()) {
+            traffic.put(kind.word(), members.count(kind));
         }
         return new JSONObject()
                 .put("name", config.name())
@@ -255,18 +267,18 @@
                 .put("view", Integer.toHexString(members.digest()))
                 .put("twice", members.isTwice())
                 .put("present", members.present())
-                .put("members", all)
+                .put("members", list)
                 .put("last_change", lastChange)
                 .put("traffic", traffic)
-                .put("not_heard", new JSONArray(silent()));
+                .put("not_heard", new JSONArray(silentMembers()));
     }
 
-    /** The names of those that it watches and hears nothing of. */
-    private List<String> silent() {
+    /** Returns the names of the members that this router monitors and has received nothing from. */
+    private List<String> silentMembers() {
         List<String> silent = new ArrayList<>();
-        for (MemberView one : members.view()) {
-            if (members.isSilent(one.name())) {
-                silent.add(one.name());
+        for (MemberView member : members.view()) {
+            if (members.isSilent(member.name())) {
+                silent.add(member.name());
             }
         }
         return silent;
--- a/src/main/java/slateseam/tier/agreement/DurableState.java
+++ b/src/main/java/slateseam/tier/agreement/DurableState.java
@@ -3,37 +3,47 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What one who votes must never forget: its seat, term and vote, and its log from a snapshot on. */
+/**
+ * The state of a Raft voter that must survive restarts: its group and identity, its current term and vote, the latest snapshot, and the
+ * log entries after the snapshot. All modifications are {@link Change} records, which are written to stable storage and replayed from it.
+ */
 public final class DurableState {
-    /** One change of it; whoever applies all in their order has the same. */
+    /** One modification. Applying the same changes in the same order gives the same state. */
     public sealed interface Change {}
 
-    /** A memory begins, or comes into a group. */
+    /** Initialises the state of a voter, or makes the voter a member of a group; group 0 stands for no group. */
     public record Begin(long group, Voter seat) implements Change {}
 
-    /** A term, and for whom the vote in it is; null while it is for nobody. */
+    /** Sets the current term and the candidate voted for in that term; the vote is null if none was given. */
     public record Term(long term, Voter vote) implements Change {}
 
-    /** An entry at the end of the log. */
+    /** Appends an entry at the end of the log. */
     public record Append(long index, Entry entry) implements Change {}
 
-    /** From this entry on the log is void. */
-    public record Cut(long index) implements Change {}
-
-    /** What all entries up to this one came to, in their place. */
+    /** Removes this entry and all later ones from the log. */
+    public record Truncate(long index) implements Change {}
+
+    /**
+     * Replaces the log up to and including the given index by the state that results from its entries.
+     *
+     * @param index index of the last entry that the snapshot covers
+     * @param term term of that entry
+     * @param seats voters of the group as of that entry
+     * @param state serialised state of the replicated state machine
+     */
     public record Snapshot(long index, long term, List<Voter> seats, byte[] state) implements Change {}
 
     private long group;
     private Voter seat;
     private long term;
     private Voter vote;
-    private long baseIndex;
-    private long baseTerm;
-    private List<Voter> baseSeats = List.of();
-    private byte[] baseState = new byte[0];
+    private long snapshotIndex;
+    private long snapshotTerm;
+    private List<Voter> snapshotSeats = List.of();
+    private byte[] snapshotState = new byte[0];
     private List<Entry> entries = new ArrayList<>();
 
-    /** Takes a change. */
+    /** Applies a change. */
     public void apply(Change change) {
         if (change instanceof Begin c) {
             group = c.group;
@@ -43,20 +53,20 @@
             vote = c.vote;
         } else if (change instanceof Append c) {
             if (c.index != lastIndex() + 1) {
-                throw new IllegalStateException("entry " + c.index + " behind " + lastIndex());
+                throw new IllegalStateException("entry " + c.index + " does not follow the last entry " + lastIndex());
             }
             entries.add(c.entry);
-        } else if (change instanceof Cut c) {
-            entries = new ArrayList<>(entries.subList(0, (int) (c.index - baseIndex - 1)));
+        } else if (change instanceof Truncate c) {
+            entries = new ArrayList<>(entries.subList(0, (int) (c.index - snapshotIndex - 1)));
         } else if (change instanceof Snapshot c) {
-            boolean goesOn = c.index <= lastIndex() && c.index > baseIndex && termAt(c.index) == c.term;
-            entries = goesOn
-                    ? new ArrayList<>(entries.subList((int) (c.index - baseIndex), entries.size()))
+            boolean keepsTail = c.index <= lastIndex() && c.index > snapshotIndex && termAt(c.index) == c.term;
+            entries = keepsTail
+                    ? new ArrayList<>(entries.subList((int) (c.index - snapshotIndex), entries.size()))
                     : new ArrayList<>();
-            baseIndex = c.index;
-            baseTerm = c.term;
-            baseSeats = List.copyOf(c.seats);
-            baseState = c.state;
+            snapshotIndex = c.index;
+            snapshotTerm = c.term;
+            snapshotSeats = List.copyOf(c.seats);
+            snapshotState = c.state;
         }
     }
 
@@ -64,7 +74,7 @@
         return group;
     }
 
-    /** Whose memory this is; null while it has not begun. */
+    /** Returns the voter that this state belongs to, or null before the first {@link Begin}. */
     public Voter seat() {
         return seat;
     }
@@ -77,64 +87,64 @@
         return vote;
     }
 
-    long baseIndex() {
-        return baseIndex;
+    long snapshotIndex() {
+        return snapshotIndex;
     }
 
-    long baseTerm() {
-        return baseTerm;
+    long snapshotTerm() {
+        return snapshotTerm;
     }
 
-    List<Voter> baseSeats() {
-        return baseSeats;
+    List<Voter> snapshotSeats() {
+        return snapshotSeats;
     }
 
-    byte[] baseState() {
-        return baseState;
+    byte[] snapshotState() {
+        return snapshotState;
     }
 
     long lastIndex() {
-        return baseIndex + entries.size();
+        return snapshotIndex + entries.size();
     }
 
     long lastTerm() {
         return termAt(lastIndex());
     }
 
-    /** The term of an entry; -1 for one that is not there. */
+    /** Returns the term of an entry, or -1 if the entry is neither in the log nor the last one of the snapshot. */
     long termAt(long index) {
-        return index == baseIndex
-                ? baseTerm
-                : index > baseIndex && index <= lastIndex() ? entry(index).term() : -1;
+        return index == snapshotIndex
+                ? snapshotTerm
+                : index > snapshotIndex && index <= lastIndex() ? entry(index).term() : -1;
     }
 
     Entry entry(long index) {
-        return entries.get((int) (index - baseIndex - 1));
+        return entries.get((int) (index - snapshotIndex - 1));
     }
 
-    /** Who votes by the newest entry that says so, committed or not. */
+    /** Returns the voters according to the latest membership entry, committed or not. */
     List<Voter> seats() {
-        long at = seatsAt();
-        return at == baseIndex ? baseSeats : Voter.all(entry(at).body());
+        long at = seatsIndex();
+        return at == snapshotIndex ? snapshotSeats : Voter.decodeAll(entry(at).body());
     }
 
-    /** The entry that says so; the snapshot's if none does. */
-    long seatsAt() {
-        for (long i = lastIndex(); i > baseIndex; i--) {
+    /** Returns the index of the latest membership entry, or that of the snapshot if the log holds none. */
+    long seatsIndex() {
+        for (long i = lastIndex(); i > snapshotIndex; i--) {
             if (entry(i).kind() == Entry.Kind.SEATS) {
                 return i;
             }
         }
-        return baseIndex;
+        return snapshotIndex;
     }
 
-    /** The same as of an entry. */
+    /** Returns the voters according to the latest membership entry at or before an index. */
     List<Voter> seatsAsOf(long index) {
-        for (long i = index; i > baseIndex; i--) {
+        for (long i = index; i > snapshotIndex; i--) {
             if (entry(i).kind() == Entry.Kind.SEATS) {
-                return Voter.all(entry(i).body());
+                return Voter.decodeAll(entry(i).body());
             }
         }
-        return baseSeats;
+        return snapshotSeats;
     }
 }
--- a/src/main/java/slateseam/tier/agreement/Voter.java
+++ b/src/main/java/slateseam/tier/agreement/Voter.java
@@ -6,14 +6,16 @@
 import java.util.List;
 
 /**
- * One who votes: a router with one memory. A router that has lost its memory, or cannot be sure of it, is another one.
+ * Identity of a voter: a router together with one instance of its durable state. A router that has lost its durable state, or cannot
+ * rely on that state, takes part as a different voter.
  *
- * @param router its number
- * @param memory drawn when the memory began, never 0
+ * @param router number of the router
+ * @param memory random identifier drawn when the durable state was created, never 0
  */
 public record Voter(int router, long memory) implements Comparable<Voter> {
-    static final int BYTES = Short.BYTES + Long.BYTES;
-    /** As many vote at the most. */
+    /** Encoded length in bytes. */
+    static final int ENCODED_BYTES = Short.BYTES + Long.BYTES;
+    /** Maximum number of voters in a group. */
     public static final int MOST = 7;
 
     void put(ByteBuffer out) {
@@ -24,15 +26,15 @@
         return new Voter(in.getShort(), in.getLong());
     }
 
-    static byte[] bytes(List<Voter> seats) {
-        ByteBuffer out = ByteBuffer.allocate(seats.size() * BYTES);
+    static byte[] encodeAll(List<Voter> seats) {
+        ByteBuffer out = ByteBuffer.allocate(seats.size() * ENCODED_BYTES);
         seats.forEach(seat -> seat.put(out));
         return out.array();
     }
 
-    static List<Voter> all(byte[] bytes) {
+    static List<Voter> decodeAll(byte[] bytes) {
         List<Voter> seats = new ArrayList<>();
-        for (ByteBuffer in = ByteBuffer.wrap(bytes); in.remaining() >= BYTES; ) {
+        for (ByteBuffer in = ByteBuffer.wrap(bytes); in.remaining() >= ENCODED_BYTES; ) {
             seats.add(get(in));
         }
         return seats;
--- a/src/test/java/slateseam/tier/agreement/RaftExplorationTest.java
+++ b/src/test/java/slateseam/tier/agreement/RaftExplorationTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Three who vote, two elections, two proposals, a restart with what was on the disk: every order in which messages come, or
- * never come, up to a depth. No two lead in a term, nobody applies another entry in a place than somebody else did.
+ * Explores the orders in which the messages of three voters are delivered or lost, up to a depth, with at most two elections, two
+ * proposals, and one restart from disk. No term may have two leaders, and no two voters may apply different entries at the same index.
  */
 class RaftExplorationTest {
     private static final int VOTERS = 3;
@@ -24,25 +24,30 @@
     private static final int ELECTIONS = 2;
     private static final int PROPOSALS = 2;
     private static final int RESTARTS = 1;
-    private static final int BEATS = 1;
-    private static final int MOST_UNDER_WAY = 5;
+    private static final int HEARTBEATS = 1;
+    private static final int MAX_MESSAGES_IN_FLIGHT = 5;
 
-    /** What happened: a message came, or something befell a router. */
+    /**
+     * One step of an execution.
+     *
+     * @param kind 0 delivers a message, 1 lets the election timeout pass, 2 proposes a command, 3 restarts from disk, 4 sends a heartbeat
+     * @param at position of the message in flight for kind 0, otherwise the router
+     */
     private record Step(int kind, int at) {}
 
-    /** A small world in which a path of steps is played from the beginning. */
-    private static final class Play {
+    /** Three routers and the messages between them, on which a path of steps is executed from the initial state. */
+    private static final class Execution {
         final Raft[] rafts = new Raft[VOTERS];
         final List<List<DurableState.Change>> disks = new ArrayList<>();
         final long[] clocks = new long[VOTERS];
-        final List<Rpc> underWay = new ArrayList<>();
+        final List<Rpc> inFlight = new ArrayList<>();
         final List<List<String>> applied = new ArrayList<>();
-        final List<String> all = new ArrayList<>();
+        final List<String> committed = new ArrayList<>();
         final Map<Long, Integer> leaders = new HashMap<>();
         final int[] counts = new int[5];
-        String broken;
+        String violation;
 
-        Play(List<Step> path) {
+        Execution(List<Step> path) {
             List<Voter> seats = new ArrayList<>();
             for (int i = 0; i < VOTERS; i++) {
                 seats.add(new Voter(i, 1));
@@ -65,7 +70,7 @@
             rafts[i] = new Raft(SETTINGS, stable, fromDisk, clocks[i], () -> 0L, new RaftPort() {
                 @Override
                 public void send(Voter to, Rpc message) {
-                    underWay.add(message);
+                    inFlight.add(message);
                 }
 
                 @Override
@@ -81,10 +86,11 @@
                     String text = entry.kind() + "" + entry.term() + Arrays.toString(entry.body());
                     List<String> own = applied.get(i);
                     own.add(text);
-                    if (all.size() < own.size()) {
-                        all.add(text);
-                    } else if (!all.get(own.size() - 1).equals(text)) {
-                        broken = "router " + i + " applies " + text + " where " + all.get(own.size() - 1) + " was";
+                    if (committed.size() < own.size()) {
+                        committed.add(text);
+                    } else if (!committed.get(own.size() - 1).equals(text)) {
+                        violation = "router " + i + " applies " + text + " at the index of "
+                                + committed.get(own.size() - 1);
                     }
                 }
 
@@ -108,7 +114,7 @@
 
                 @Override
                 public void memoryLost(String why) {
-                    broken = "router " + i + ": " + why;
+                    violation = "router " + i + ": " + why;
                 }
             });
         }
@@ -118,7 +124,7 @@
             counts[step.kind]++;
             switch (step.kind) {
                 case 0 -> {
-                    Rpc message = underWay.remove(at);
+                    Rpc message = inFlight.remove(at);
                     int to = message.head().to().router();
                     rafts[to].heard(clocks[to], message);
                 }
@@ -126,7 +132,8 @@
                     clocks[at] += 2 * SETTINGS.electionNanos();
                     rafts[at].tick(clocks[at]);
                     rafts[at].tick(clocks[at]);
-                    if (rafts[at].role() == Raft.Role.FOLLOWER) { // the pause itself was not the others' silence
+                    // The first ticks count as a pause of this router, not as a silent leader.
+                    if (rafts[at].role() == Raft.Role.FOLLOWER) {
                         clocks[at] += 2 * SETTINGS.electionNanos();
                         for (long t = clocks[at] - 2 * SETTINGS.electionNanos(); t <= clocks[at]; t += 200) {
                             rafts[at].tick(t);
@@ -136,12 +143,12 @@
                 case 2 -> rafts[at].propose(new byte[] {(byte) counts[2]});
                 case 3 -> {
                     start(at, true);
-                    // The others answer at once what they had from it, so that it goes on.
+                    // The other voters answer the recall request at once, so that the restarted one continues.
                     for (int other = 0; other < VOTERS; other++) {
                         if (other != at) {
                             rafts[at].heard(
                                     clocks[at],
-                                    new Rpc.Recalled(
+                                    new Rpc.RecallReply(
                                             new Rpc.Head(GROUP, rafts[other].self(), rafts[at].self(), 0), 0, 0));
                         }
                     }
@@ -155,22 +162,25 @@
             for (int i = 0; i < VOTERS; i++) {
                 if (rafts[i].role() == Raft.Role.LEADER
                         && !leaders.computeIfAbsent(rafts[i].term(), x -> -1).equals(i)) {
-                    broken = leaders.put(rafts[i].term(), i) == -1 ? broken : "two lead in term " + rafts[i].term();
+                    violation = leaders.put(rafts[i].term(), i) == -1
+                            ? violation
+                            : "two leaders in term " + rafts[i].term();
                 }
             }
-            while (underWay.size() > MOST_UNDER_WAY) {
-                underWay.remove(0); // lost
+            while (inFlight.size() > MAX_MESSAGES_IN_FLIGHT) {
+                inFlight.remove(0); // lost
             }
         }
 
-        List<Step> next() {
+        List<Step> enabledSteps() {
             List<Step> steps = new ArrayList<>();
-            for (int i = 0; i < underWay.size(); i++) {
+            for (int i = 0; i < inFlight.size(); i++) {
                 steps.add(new Step(0, i));
             }
             for (int i = 0; i < VOTERS; i++) {
                 boolean leads = rafts[i].role() == Raft.Role.LEADER;
-                if (!leads && counts[1] < ELECTIONS && (counts[1] > 0 || i == 0)) { // all are alike at first
+                // All routers are equivalent before the first election.
+                if (!leads && counts[1] < ELECTIONS && (counts[1] > 0 || i == 0)) {
                     steps.add(new Step(1, i));
                 }
                 if (leads && counts[2] < PROPOSALS) {
@@ -179,20 +189,20 @@
                 if (counts[3] < RESTARTS && counts[1] > 0) {
                     steps.add(new Step(3, i));
                 }
-                if (leads && counts[4] < BEATS) {
+                if (leads && counts[4] < HEARTBEATS) {
                     steps.add(new Step(4, i));
                 }
             }
             return steps;
         }
 
-        /** States that are alike go on alike: messages under way count without their order. */
-        String key() {
-            StringBuilder text = new StringBuilder(Arrays.toString(counts)).append(all);
+        /** Returns a key of the state. States with equal keys have the same continuations; the order of messages in flight is ignored. */
+        String stateKey() {
+            StringBuilder text = new StringBuilder(Arrays.toString(counts)).append(committed);
             for (Raft raft : rafts) {
                 text.append(raft.fingerprint()).append(';');
             }
-            underWay.stream()
+            inFlight.stream()
                     .map(message -> Arrays.toString(message.encode()))
                     .sorted()
                     .forEach(text::append);
@@ -200,63 +210,63 @@
         }
     }
 
-    /** All states up to a depth or a number; the first path on which something breaks, or how many states there were. */
-    private static String explore(int depth, int most) {
-        Deque<List<Step>> open = new ArrayDeque<>(List.of(List.of()));
+    /** Explores breadth-first up to a depth or number of states; returns the first path that violates a rule, or the number of states. */
+    private static String explore(int depth, int maxStates) {
+        Deque<List<Step>> unexplored = new ArrayDeque<>(List.of(List.of()));
         Set<Long> seen = new HashSet<>();
         int deepest = 0;
-        while (!open.isEmpty() && seen.size() < most) {
-            List<Step> path = open.poll();
-            Play play = new Play(path);
-            if (play.broken != null) {
-                return path + ": " + play.broken;
+        while (!unexplored.isEmpty() && seen.size() < maxStates) {
+            List<Step> path = unexplored.poll();
+            Execution execution = new Execution(path);
+            if (execution.violation != null) {
+                return path + ": " + execution.violation;
             }
-            String key = play.key();
+            String key = execution.stateKey();
             if (path.size() >= depth
                     || !seen.add(((long) key.hashCode() << 32)
                             ^ key.chars().asLongStream().reduce(7, (a, b) -> a * 1_000_003 + b))) {
                 continue;
             }
             deepest = Math.max(deepest, path.size());
-            for (Step step : play.next()) {
+            for (Step step : execution.enabledSteps()) {
                 List<Step> longer = new ArrayList<>(path);
                 longer.add(step);
-                open.add(longer);
+                unexplored.add(longer);
             }
         }
         return "held in " + seen.size() + " states, " + deepest + " steps deep"
-                + (open.isEmpty() ? "" : ", " + open.size() + " open");
+                + (unexplored.isEmpty() ? "" : ", " + unexplored.size() + " unexplored");
     }
 
-    /** Far deeper, but not every path: each is drawn. */
-    private static String walk(int walks, int depth) {
+    /** Follows random paths, which are far longer than those of the exhaustive exploration. */
+    private static String randomWalks(int walks, int depth) {
         java.util.SplittableRandom random = new java.util.SplittableRandom(1);
         for (int i = 0; i < walks; i++) {
             List<Step> path = new ArrayList<>();
-            Play play = new Play(path);
-            while (path.size() < depth && play.broken == null) {
-                List<Step> next = play.next();
-                if (next.isEmpty()) {
+            Execution execution = new Execution(path);
+            while (path.size() < depth && execution.violation == null) {
+                List<Step> steps = execution.enabledSteps();
+                if (steps.isEmpty()) {
                     break;
                 }
-                Step step = next.get(random.nextInt(next.size()));
+                Step step = steps.get(random.nextInt(steps.size()));
                 path.add(step);
-                play.step(step);
+                execution.step(step);
             }
-            if (play.broken != null) {
-                return path + ": " + play.broken;
+            if (execution.violation != null) {
+                return path + ": " + execution.violation;
             }
         }
         return "held in " + walks + " walks";
     }
 
     @Test
-    void nothingBreaksOnLongWalks() {
-        assertThat(walk(20_000, 60)).startsWith("held in ");
+    void rulesHoldOnLongRandomPaths() {
+        assertThat(randomWalks(20_000, 60)).startsWith("held in ");
     }
 
     @Test
-    void nothingBreaksInWhateverOrderMessagesCome() {
+    void rulesHoldForAllMessageOrdersWithinTheBounds() {
         assertThat(explore(9, 40_000)).startsWith("held in ");
     }
 
