--- a/src/main/java/slateseam/decision/Account.java
+++ b/src/main/java/slateseam/decision/Account.java
@@ -1,28 +1,41 @@
 package slateseam.decision;
 
-/** One router's part of a budget that all routers divide, its demand, and what it may spend at once. */
+/**
+ * One router's part of a budget that all routers share (its supply), with the demand for it at this router and the
+ * token bucket from which requests are paid. The budget is the origin's, or one tenant's share. Supply is counted in
+ * units, of which the whole budget has {@link #WHOLE}; rates and demand are per second.
+ */
 final class Account {
-    /** A whole budget, in indivisible parts so that transfers are exact. */
+    /** Units of a whole budget. Units are integers, so that transfers are exact. */
     static final int WHOLE = 1 << 30;
 
-    /** Of the demand within shares, reserved for it: demand comes in bursts, and what waits for supply is late. */
+    /**
+     * Multiple of the demand within shares that is reserved for that demand: it comes in bursts, and a request that has
+     * to wait for supply is late.
+     */
     private static final double HEADROOM = 1.25;
-    /** Of what may be spent at once beyond the first, kept for demand within shares. */
+    /** Fraction of the burst, apart from the first token, that is kept for demand within shares. */
     private static final double RESERVED_BURST = 0.75;
 
-    /** This router's own part of the whole: an even share and what its neighbours moved; below 0 while it owes. */
+    /**
+     * This router's own supply: an even share plus the net sum of all transfers; below 0 while the router owes
+     * supply.
+     */
     int units;
-    /** What ledgers that have not been heard since the start are taken to say; what they owe this router is not used. */
+    /**
+     * Assumed balance of the ledgers whose other end has not been heard since this router started. Only a debt counts:
+     * supply that those ledgers owe this router is not used.
+     */
     int unheard;
-    /** What it holds beside for a neighbour that has vanished. */
+    /** Supply that this router uses on behalf of neighbours that have vanished. */
     int inherited;
-    /** Whether it must not be used now: others may use it. */
+    /** Whether this supply must not be used now because other routers may be using it. */
     boolean rests;
-    /** The whole budget a second. */
+    /** The whole budget of the tier, per second. */
     double rate;
-    /** What is asked for, but for what is counted as beyond tenants' shares. */
+    /** Demand within tenants' shares: all demand that is not counted in {@link #beyondShares}. */
     final Tally demand = new Tally();
-    /** What is asked for beyond tenants' shares. */
+    /** Demand beyond tenants' shares. */
     final Tally beyondShares = new Tally(0);
 
     private double tokens;
@@ -33,31 +46,33 @@
         this.units = units;
     }
 
-    /** All that this router may use, in units; below 0 while it owes. */
+    /** Returns the units that this router may use now; below 0 while it owes supply. */
     int held() {
         return rests ? Math.min(0, booked()) : booked();
     }
 
-    /** The same by the books, whether or not it may be used now. */
+    /** Returns the units of {@link #held()} whether or not they may be used now. */
     int booked() {
         return own() + inherited;
     }
 
-    /** Its own part, as far as is known. */
+    /** Returns this router's own units, less what it may owe by ledgers that it has not heard yet. */
     int own() {
         return units + Math.min(0, unheard);
     }
 
-    /** The supply of a second. */
+    /** Returns the usable supply per second. */
     double supply() {
         return Math.max(0, held()) * rate / WHOLE;
     }
 
     /**
-     * The demand by which supply is divided, a second: the fill ratio of this account is its supply by this. Guards
-     * against a tenant whose overload at one router draws the supply that others need within their shares: up to
-     * {@link #HEADROOM} times the demand within shares, supply is divided by that demand alone. Only what is left over
-     * everywhere is divided by all demand. Without demand beyond shares this is the demand.
+     * Returns the demand per second by which the supply is divided to get the account's fill ratio. Up to {@link
+     * #HEADROOM} times the demand within shares, supply is divided by that demand alone; only supply beyond that is
+     * divided by all demand. Guards against a tenant whose overload at one router draws the supply that other routers
+     * need within their shares. Without demand beyond shares the result is the demand.
+     *
+     * @param wholeRate the whole budget per second
      */
     double fillDemand(double wholeRate) {
         double within = demand.perSecond();
@@ -70,29 +85,30 @@
         return supply / fillRatio;
     }
 
-    /** Ends an interval of the demand's measurement. */
+    /** Ends a measuring interval of the demand. */
     void endInterval() {
         demand.endInterval(Timing.INTERVAL_SECONDS, Timing.DEMAND_WEIGHT);
         beyondShares.endInterval(Timing.INTERVAL_SECONDS, Timing.DEMAND_WEIGHT);
     }
 
-    /** Adds the supply of some seconds, keeping at most a burst. */
+    /** Adds the supply of the given number of seconds to the token bucket, which holds at most {@code burst} tokens. */
     void accrue(double seconds, double burst) {
         this.burst = burst;
         tokens = Math.min(burst, tokens + supply() * seconds);
     }
 
-    /** Counts a demand of one and takes it if there is as much. */
+    /** Counts one request as demand and takes a token; returns whether there was one. */
     boolean ask() {
         demand.count();
         return take();
     }
 
-    /** Takes one beyond shares, if enough is left for a burst of demand within. */
+    /** Takes a token for demand beyond shares, if enough are left for a burst of demand within shares. */
     boolean takeBeyondShares() {
         return tokens >= 1 + RESERVED_BURST * (burst - 1) && take();
     }
 
+    /** Takes a token; returns whether there was one. */
     boolean take() {
         boolean enough = tokens >= 1;
         if (enough) {
--- a/src/main/java/slateseam/decision/EarlierSupply.java
+++ b/src/main/java/slateseam/decision/EarlierSupply.java
@@ -3,35 +3,40 @@
 import java.util.List;
 
 /**
- * What a router that has just started takes its supply to be while it has not heard all of its partners. Its books lie
- * with them, and some may be away or cut off for long. Guards against a restart behind a cut that has a router use what
- * it has given away.
+ * Estimates the supply of a router that has just started and has not heard from all its partners yet. The partners
+ * hold the totals from which its supply follows, and some of them may be away or cut off for a long time. Guards
+ * against a router that restarts within a network partition and uses supply that its previous run has given away.
  *
- * <p>Until it knows better it uses nothing but what is moved to it in this life. It knows better once all partners have
- * been heard, or once its heir has told what the earlier life had: that, less the ledgers that are known again, is what
- * the others must say. Where neither comes, as its heir has restarted too, is of another build or is gone, it takes the
- * ledgers that it knows for all there are after a while.
+ * <p>At first the router uses only supply that is moved to it in this run. This ends once all partners have been
+ * heard, or once its ring successor has reported the supply of the previous run: that supply, less the ledgers known
+ * again, is the balance of the ledgers that are still unknown. If neither happens, because the successor has
+ * restarted too, runs another build or is gone, the router assumes after a time-out that there are no ledgers but the
+ * known ones.
  */
 final class EarlierSupply {
-    /** The heir was heard, and told nothing: it knows nothing. */
+    /** Time-out in nanoseconds if the ring successor has answered but sent no reminder: it has none. */
     private static final long HEIR_KNOWS_NOTHING = 10 * Timing.SECOND;
-    /** The heir was not heard: it may be away for good. */
+    /** Time-out in nanoseconds if the ring successor has not answered: it may be away for good. */
     private static final long HEIR_UNHEARD = 60 * Timing.SECOND;
 
     private enum State {
-        /** It uses only what is moved to it in this life. */
+        /** The router uses only supply that is moved to it in this run. */
         WAITING,
-        /** It knows what its earlier life had, but not all ledgers. */
+        /** The supply of the previous run is known, but not all ledgers are. */
         TOLD,
-        /** Its books are whole. */
+        /** All ledgers are known, or taken for known. */
         SETTLED
     }
 
     private final List<Account> accounts;
-    /** What the books said before this life moved anything: the even share and what known ledgers said when they came back. */
+    /**
+     * Supply at the start of this run as far as it is known: the even share and the balances of ledgers known again.
+     */
     private final int[] base;
 
+    /** The units of each account before the message that is being processed. */
     private final int[] before;
+
     private State state = State.SETTLED;
     private long startedAt;
 
@@ -41,7 +46,11 @@
         this.before = new int[accounts.size()];
     }
 
-    /** A life begins; with ring neighbours alone it takes what they say as it comes. */
+    /**
+     * Begins a run.
+     *
+     * @param hasPartners whether there are partners beside the ring neighbours; if not, nothing is estimated
+     */
     void start(boolean hasPartners, long now) {
         state = hasPartners ? State.WAITING : State.SETTLED;
         startedAt = now;
@@ -51,12 +60,12 @@
         }
     }
 
-    /** Whether its heir is still to tell what the earlier life had. */
+    /** Returns whether the reminder of the ring successor is still awaited. */
     boolean isWaiting() {
         return state == State.WAITING;
     }
 
-    /** The heir, whose ledger is known again, tells. */
+    /** Takes over the reminder of the ring successor, whose ledger must be known again. */
     void told(SupplyReminder reminder) {
         if (state == State.WAITING) {
             state = State.TOLD;
@@ -67,8 +76,9 @@
     }
 
     /**
-     * One who is not the heir tells what the earlier life told it last. Guards against a restart behind a cut that has a
-     * router use what is moved to it though it owes: of that word only the debt counts, as the heir may have passed on the rest.
+     * Takes over the reminder of a neighbour other than the ring successor. Only a debt in it counts, as the
+     * successor may have passed on any supply. Guards against a router that restarts within a network partition and
+     * uses supply that is moved to it though it owes supply.
      */
     void toldByPartner(SupplyReminder reminder) {
         if (state == State.WAITING) {
@@ -78,14 +88,18 @@
         }
     }
 
-    /** A message is about to be taken, which may bring a ledger back. */
+    /** Is called before a message is processed, which may make a ledger known again. */
     void hearing() {
         for (int a = 0; a < before.length; a++) {
             before[a] = accounts.get(a).units;
         }
     }
 
-    /** It brought one back: what that says was part of what had not been heard. */
+    /**
+     * Is called when the message has made a ledger known again: moves its balance from the unknown part to the known.
+     *
+     * @param allKnown whether all ledgers are known now
+     */
     void adopted(boolean allKnown) {
         for (int a = 0; a < base.length; a++) {
             int said = accounts.get(a).units - before[a];
@@ -97,7 +111,7 @@
         }
     }
 
-    /** Time goes on. */
+    /** Is called at each tick; gives up waiting for the ring successor's reminder after the time-out. */
     void pass(boolean heirAnswered, long now) {
         if (state == State.WAITING && now - startedAt >= (heirAnswered ? HEIR_KNOWS_NOTHING : HEIR_UNHEARD)) {
             settle();
--- a/src/main/java/slateseam/decision/Ledger.java
+++ b/src/main/java/slateseam/decision/Ledger.java
@@ -5,33 +5,41 @@
 import java.util.stream.IntStream;
 
 /**
- * What this router and one ring neighbour have moved between them of the accounts on one page of their messages: one total for each
- * account, held by both ends. Each page numbers its messages for itself, as pages are told at different times.
+ * One end of the record of supply that this router and a neighbour have moved between them, for the accounts on one
+ * page of their messages: one running total for each account, held by both ends. Each page has its own sequence
+ * numbers, as pages are sent at different times. The {@link Neighbour} class describes the protocol.
  */
 final class Ledger {
     private final int page;
-    /** Whether this router has the lower number: it alone decides what moves. */
+    /** Whether this router has the lower number of the two. Only the lower end initiates transfers. */
     private final boolean lower;
 
     private final List<Account> accounts;
-    /** Whether this end holds the ledger; one that has just started does not. */
+    /** Whether this end knows the totals; a router that has just started does not. */
     private boolean known;
 
     private boolean answered;
     private boolean mayMove;
+    /** Whether the other end has reported its units at all. */
     private boolean told;
-    /** Whether what it told last is what its books said, and not what a life that has just started makes of them. */
+    /** Whether the last report came from an end that knew its totals and its demand, and not from one just started. */
     private boolean toldByBooks;
 
+    /** Number of the other router's run that was heard last; 0 if none was. */
     private int life;
+    /** Sequence number of the last message sent. */
     private int sent;
+    /** Sequence number of the last message received. */
     private int heard;
-    /** All that went from the lower to the higher: as this end tells it; as the other end was last seen to have it. */
+    /** For each account, the total moved from the lower to the higher end, as this end reports it. */
     private final int[] flow;
-
+    /** The same total as the other end was last seen to have it. */
     private final int[] settled;
+    /** The total that came with {@link #theirUnits}. */
     private int[] theirFlow;
+    /** The other router's own units for each account, as it reported them last. */
     private int[] theirUnits;
+    /** The other router's units that this router uses while the other is away; null if none. */
     private int[] loan;
 
     Ledger(int page, boolean lower, List<Account> accounts) {
@@ -44,32 +52,32 @@
         theirUnits = accounts.stream().mapToInt(a -> a.units).toArray();
     }
 
-    /** The life of the other router that was heard last; 0 if none was. */
+    /** Returns the number of the other router's run that was heard last; 0 if none was. */
     int life() {
         return life;
     }
 
-    /** Whether the other router has told something to this life of this router. */
+    /** Returns whether the other router has sent anything to the present run of this router. */
     boolean answered() {
         return answered;
     }
 
-    /** Whether this end holds the ledger. */
+    /** Returns whether this end knows the totals. */
     boolean known() {
         return known;
     }
 
-    /** Whether the message that was heard last shows the ledger as this end told it, so that more may move. */
+    /** Returns whether the last message confirmed the totals as this end had sent them, so that more may move. */
     boolean mayMove() {
         return mayMove;
     }
 
-    /** One of the accounts on this page, by its place there. */
+    /** Returns an account by its position on this page. */
     Account account(int place) {
         return accounts.get(place);
     }
 
-    /** What the next message is to say of the ledger and of messages. */
+    /** Builds the next message about this page and gives it the next sequence number. */
     SupplyMessage message(boolean ask, boolean starting, int me, double rate, Map<Long, Double> popular) {
         return new SupplyMessage(
                 page,
@@ -90,24 +98,30 @@
                 popular);
     }
 
-    /** Whether a message is of a later life than all before it. */
+    /** Returns whether a message is from a later run of the other router than all messages before. */
     boolean isAnew(SupplyMessage m) {
         return life == 0 || m.from() - life > 0;
     }
 
-    /** Whether a message is neither doubled nor overtaken nor of an earlier life. */
+    /**
+     * Returns whether a message is neither a duplicate nor out of order nor from an earlier run of the other router.
+     */
     boolean isNews(SupplyMessage m) {
         return isAnew(m) || m.from() == life && m.sequence() - heard > 0;
     }
 
-    /** Takes a message that is news. */
+    /**
+     * Processes a message for which {@link #isNews} holds.
+     *
+     * @param me number of the present run of this router
+     */
     void hear(SupplyMessage m, int me) {
         if (lower && isAnew(m) && !m.known()) {
             withdrawRequests();
         }
         life = m.from();
         heard = m.sequence();
-        // One that has just started does not know its supply yet; what its earlier life told still holds.
+        // A router that has just started does not know its supply yet; the report of its previous run still holds.
         if (!told || m.known() && !m.starting()) {
             theirUnits = m.units().clone();
             theirFlow = m.flow();
@@ -120,11 +134,12 @@
         }
     }
 
+    /** Brings the totals of both ends together, by a message to the present run of this router. */
     private void take(SupplyMessage m) {
         answered = true;
         boolean had = known;
         known = true;
-        // Where both have just started the ledger begins at nothing.
+        // If both ends have just started, the totals begin at 0.
         if (!had && m.known()) {
             adopt(m.flow());
         } else if (had && m.known() && !lower) {
@@ -135,6 +150,7 @@
         }
     }
 
+    /** Takes over the totals of the other end, which this end has lost in its restart. */
     private void adopt(int[] theirs) {
         for (int a = 0; a < flow.length; a++) {
             accounts.get(a).units += lower ? -theirs[a] : theirs[a];
@@ -144,8 +160,9 @@
     }
 
     /**
-     * The lower end takes back what it has asked for and not been granted. Guards against a higher end that has just
-     * started and takes the total over as it is told: it would give what its heir counts as its own, or what it never had.
+     * Lower end: takes back requests for supply that have not been granted. Guards against a higher end that has just
+     * started and adopts the total with such a request in it: it would give away supply that its ring successor holds
+     * for it, or that it never had.
      */
     private void withdrawRequests() {
         for (int a = 0; a < flow.length; a++) {
@@ -153,7 +170,7 @@
         }
     }
 
-    /** The higher end: takes what has come, and gives what is asked back as far as it has it. */
+    /** Higher end: credits supply that it was given, and grants requests as far as it has the supply. */
     private void apply(int[] theirs) {
         for (int a = 0; a < flow.length; a++) {
             Account own = accounts.get(a);
@@ -164,7 +181,7 @@
         }
     }
 
-    /** The lower end: takes back what the other end has not taken, and what it gave. */
+    /** Lower end: takes back what the other end has not credited, and credits what the other end granted. */
     private void settle(int[] theirs) {
         for (int a = 0; a < flow.length; a++) {
             accounts.get(a).units += debited(a) - theirs[a];
@@ -173,7 +190,10 @@
         }
     }
 
-    /** Moves so much of an account to the other end; below 0 it is asked for. Only the lower end does. */
+    /**
+     * Lower end: moves units of an account to the other end, at most as many as it holds. A negative amount is a
+     * request to the other end, which is credited only once granted.
+     */
     void move(int a, int amount) {
         int most = Math.max(0, accounts.get(a).held());
         int moved = Math.min(amount, most);
@@ -181,12 +201,15 @@
         accounts.get(a).units -= Math.max(0, moved);
     }
 
-    /** By the difference: totals go on past the end of their numbers, where supply goes round the ring for long. */
+    /**
+     * Returns the total without requests that have not been granted. Totals are compared by their difference: they
+     * overflow where supply moves round the ring for a long time.
+     */
     private int debited(int a) {
         return flow[a] - settled[a] > 0 ? flow[a] : settled[a];
     }
 
-    /** Uses the other router's supply until it is given back. */
+    /** Uses the other router's supply until {@link #giveBack} is called. */
     void inherit() {
         loan = new int[flow.length];
         for (int a = 0; a < loan.length; a++) {
@@ -195,12 +218,12 @@
         }
     }
 
-    /** The other router's own supply as it told last, with what has moved to it since. */
+    /** Returns the other router's own units as it reported them last, with what has moved to it since. */
     private int theirs(int a) {
         return theirUnits[a] + (lower ? debited(a) - theirFlow[a] : 0);
     }
 
-    /** What a life of the other router that has just started is to know of the one before; null if this one does not know it. */
+    /** Returns what a restarted router is to learn about its previous run; null if this end does not know. */
     SupplyReminder reminder() {
         return toldByBooks && known
                 ? new SupplyReminder(
@@ -211,7 +234,8 @@
     /**
      * Stops using the other router's supply.
      *
-     * @param lost whether the other router no longer has the ledger: then what of the loan is spent is booked as moved to this end
+     * @param lost whether the other router has lost its totals; then what this router passed on of that supply and no
+     *     longer has is recorded as moved to this end, so that neither router owes it
      */
     void giveBack(boolean lost) {
         if (loan == null) {
--- a/src/main/java/slateseam/decision/Neighbour.java
+++ b/src/main/java/slateseam/decision/Neighbour.java
@@ -7,53 +7,56 @@
 import slateseam.decision.Api.Trust;
 
 /**
- * What this router and one ring neighbour have moved between them, and what it holds for the neighbour while that is
- * away. It keeps the books; {@link SharedBudgets} decides how much moves.
+ * This router's view of one router with which it exchanges supply: the {@link Ledger}s of what the two have moved
+ * between them, whether the other router is alive, and the supply that this router uses on its behalf while it is
+ * away. {@link SharedBudgets} decides how much moves.
  *
- * <p>A router's own supply is an even share of the whole and what its two ledgers say. A ledger is one total for each
- * account, held by both ends, and so outlives the restart of either: the one that starts takes over what the other has,
- * in the first message that answers it. Where the accounts take several pages of messages, there is a {@link Ledger} for each page;
- * whether the other router is there is told by all of them. Messages carry totals and never amounts, so that a message that is lost,
- * doubled, late or overtaken changes nothing.
+ * <p>A router's own supply is an even share of the whole budget plus the balance of its ledgers. A ledger is one
+ * running total for each account, held by both ends, and therefore survives a restart of either: a router that starts
+ * takes over the totals of the other end from the first message that answers it. If the accounts take several pages
+ * of messages, there is a ledger for each page; a message about any page shows that the other router is alive.
+ * Messages carry totals and never amounts, so that a message that is lost, duplicated, late or out of order changes
+ * nothing.
  *
  * <ul>
- * <li>On each ledger the giving end debits before the taking end credits. Own supplies therefore never add up to more
- * than the whole, and to less only by what is on its way: at most one movement a ledger.
- * <li>A router that starts uses nothing before its neighbours have answered, or until SharedBudgets no longer waits for them.
- * In the second case it may use, until they do answer, what its earlier life had given them on balance, and what its
- * buddy still holds for it.
- * <li>While a router is away its buddy holds its supply as last told. That can differ from the ledgers by what the
- * vanished one moved with its other neighbour after it last told its buddy: at most one movement, or as many as there were since a
- * page behind the first was last told. A router that is
- * there but not heard is counted twice for as long as that lasts.
- * <li>When it is heard again, its buddy stops using its supply before it answers. What the buddy has passed on
- * meanwhile and no longer has, it books as moved to itself: the one that returns gets what is left, nobody owes, and
- * the ring moves the rest to where the demand is.
+ * <li>On each ledger the giving end debits before the receiving end credits. The own supplies of all routers
+ * therefore never add up to more than the whole budget, and to less only by what is in transit: at most one transfer
+ * for each ledger.
+ * <li>A router that starts uses no supply before its neighbours have answered or {@link SharedBudgets} no longer
+ * waits for them. In the second case it may use, until they answer, supply that its previous run had given them on
+ * balance, and supply that its ring successor still uses on its behalf.
+ * <li>While a router is away, its ring successor uses its supply as last reported. That can differ from the ledgers
+ * by what the vanished router moved with its other neighbours after its last report: at most one transfer for each
+ * ledger, or for a page after the first all transfers since that page was last sent. The supply of a router that is
+ * alive but not heard is counted twice for as long as that lasts.
+ * <li>When the router is heard again, its ring successor stops using its supply before it answers. Supply that the
+ * successor has passed on meanwhile and no longer has is recorded as moved to the successor: the returning router
+ * gets what is left, neither router owes anything, and the ring moves the rest to where the demand is.
  * </ul>
  */
 final class Neighbour {
     private static final long SECOND = 1_000_000_000L;
-    /** Routers ask no more often as a rule. */
+    /** The shortest interval between messages that is expected of a neighbour, in nanoseconds. */
     private static final long LEAST_PAUSE = SECOND / 4;
-    /** Between two looks at it; after a longer time it was this router that stood still. */
+    /** If more time than this passes between two ticks, in nanoseconds, this router itself was suspended. */
     private static final long STOOD_STILL = SECOND / 4;
     /** The number of the other router. */
     final int peer;
-    /** Whether this router has the lower number: it alone decides what moves. */
+    /** Whether this router has the lower number of the two. Only the lower end initiates transfers. */
     final boolean lower;
-    /** Whether this router inherits the other's supply: it is its ring successor. */
+    /** Whether this router is the other's ring successor, which uses the other's supply while the other is away. */
     final boolean buddy;
-    /** Whether the other is beside this router on the ring; else it is the partner of a link. */
+    /** Whether the other router is a ring neighbour; if not, it is the partner of a supply link. */
     final boolean ring;
-    /** Whether the other inherits this router's supply. */
+    /** Whether the other router is this router's ring successor. */
     final boolean heir;
 
     private final List<Account> accounts;
-    /** One for each page of the messages. */
+    /** The ledgers, one for each page of the messages. */
     private final List<Ledger> ledgers = new ArrayList<>();
-    /** The page behind the first that was asked for last. */
+    /** The page after the first that was asked for last. */
     private int turn;
-    /** Whether it holds the other's supply. */
+    /** Whether this router now uses the other's supply. */
     private boolean inherits;
 
     private long heardAt;
@@ -61,7 +64,7 @@
     private long lookedAt;
     private Sight sight = Sight.UNKNOWN;
     private Trust trust = Trust.FULL;
-    /** The usual time between its messages. */
+    /** The usual interval between the other router's messages, in nanoseconds. */
     private long pause = SECOND / 2;
 
     Neighbour(int me, int routers, int peer, List<Account> accounts, long now) {
@@ -80,23 +83,23 @@
         }
     }
 
-    /** The ledger of the accounts on a page of the messages. */
+    /** Returns the ledger of the accounts on a page of the messages. */
     Ledger ledger(int page) {
         return ledgers.get(page);
     }
 
-    /** Whether it has told something to this life of this router. */
+    /** Returns whether the other router has sent anything to the present run of this router. */
     boolean answered() {
         return ledgers.get(0).answered();
     }
 
-    /** The next page behind the first, in turn. */
+    /** Returns the next page after the first, in turn. */
     int nextPage() {
         turn = turn + 1 < ledgers.size() ? turn + 1 : 1;
         return turn;
     }
 
-    /** The first page whose ledger this end does not hold; 0 if there is none behind the first. */
+    /** Returns the first page after page 0 whose ledger this end does not know; 0 if there is none. */
     int unknownPage() {
         for (int page = 1; page < ledgers.size(); page++) {
             if (!ledgers.get(page).known()) {
@@ -106,7 +109,12 @@
         return 0;
     }
 
-    /** Takes a message to this life; false, and nothing is changed, if it is doubled, overtaken or of an earlier life. */
+    /**
+     * Processes a message of the other router.
+     *
+     * @param me number of the present run of this router
+     * @return false if the message is a duplicate, out of order or from an earlier run; then nothing is changed
+     */
     boolean hear(SupplyMessage m, int me, long now) {
         Ledger ledger = ledgers.get(m.page());
         if (!ledger.isNews(m)) {
@@ -124,24 +132,26 @@
         return true;
     }
 
-    /** It is there, if in a way that cannot be understood: what it holds is not to be used twice. */
+    /** Notes that the other router is alive though its message cannot be read, so that its supply is not used twice. */
     void isThere(long now) {
         giveBack();
         heardAt = now;
     }
 
-    /** When it was last looked at whether to ask it. */
+    /** Returns when the last exchange with this neighbour was begun. */
     long askedAt() {
         return askedAt;
     }
 
+    /** Notes that an exchange with this neighbour begins. */
     void asked(long now) {
         askedAt = now;
     }
 
     /**
-     * Is told at each tick that time goes on. Guards against a router that wakes, finds that it has heard nobody, and takes
-     * the supply of those who were there all the while: what fell into its own pause was no silence of the other.
+     * Is called at each tick. If this router was suspended, the time of its suspension does not count as silence of the
+     * other. Guards against a router that resumes, finds that it has heard nobody, and takes over the supply of routers
+     * that were alive all the time.
      */
     void look(long now) {
         if (now - lookedAt > STOOD_STILL) {
@@ -151,16 +161,18 @@
     }
 
     /**
-     * Whether its buddy, as long as it does not hold its supply, has not heard it for so many of its usual pauses. Guards against lost
-     * messages that keep one that returns from its supply, or make one that is there look as if it were not.
+     * Returns whether this router is the other's ring successor, does not use its supply, and has not heard it for the
+     * given number of its usual message intervals. Counting several intervals guards against lost messages that keep a
+     * returning router from its supply, or make a router that is alive look dead.
      */
     boolean missed(int pauses, long now) {
         return buddy && !inherits && now - heardAt > pauses * Math.max(LEAST_PAUSE, pause);
     }
 
     /**
-     * What the tier knows of it, and how far this router trusts that. One that somebody hears uses its supply itself; one that does
-     * not trust what it hears uses nobody else's, and not its own either while others may use that.
+     * Takes over what the tier's membership says about a router, and how far this router trusts its view. A router that
+     * any other router hears uses its supply itself. A router that does not fully trust its view uses no supply of
+     * others, and with no trust at all not even its own, as others may be using that.
      */
     void seen(TierSeen e) {
         trust = e.trust();
@@ -172,19 +184,21 @@
     }
 
     /**
-     * Whether its buddy is to use its supply: it has not been heard for so many of its usual pauses, and nobody else hears it. One that
-     * the whole tier has lost is inherited from at once.
+     * Returns whether this router is to use the other's supply, as its ring successor: the other has not been heard for
+     * the given number of its usual message intervals, and no other router hears it. If the whole tier has lost it, one
+     * missed interval is enough.
      */
     boolean vanished(int pauses, long now) {
         return trust == Trust.FULL && sight != Sight.THERE && missed(sight == Sight.GONE ? 1 : pauses, now);
     }
 
-    /** Uses the supply of one that has vanished until it is heard again. */
+    /** Begins to use the other router's supply, until it is heard again. */
     void inherit() {
         inherits = true;
         ledgers.forEach(Ledger::inherit);
     }
 
+    /** Stops using the other router's supply. */
     private void giveBack() {
         inherits = false;
         ledgers.forEach(ledger -> ledger.giveBack(false));
--- a/src/main/java/slateseam/decision/OriginRate.java
+++ b/src/main/java/slateseam/decision/OriginRate.java
@@ -3,36 +3,46 @@
 import slateseam.decision.Api.Outcome;
 
 /**
- * Learns R, the fetches a second that the origin can bear, from how this router's fetches went: additive steps up,
- * a multiplicative cut after overload. R is the rate of the origin's {@link Account}.
+ * Learns R, the number of fetches per second that the origin can bear, from the outcomes of this router's fetches: R
+ * grows slowly while it limits the fetches, and is cut by a factor after an overload. R is the rate of the origin's
+ * {@link Account}.
  */
 final class OriginRate {
-    /** Of R in an interval, at most. */
+    /** The largest factor by which R grows in an interval. */
     private static final double MOST_GROWTH = 1.5;
-    /** Of R in an interval, for each second since the last cut. */
+    /** Growth of R in an interval, as a fraction of R, for each second since the last cut. */
     private static final double GROWTH = 0.016;
 
+    /** The growth is never less than so many seconds after a cut. */
     private static final double LEAST_GROWTH_SECONDS = 2.5;
-    /** Of R after overload, on what the origin was just seen to deliver. */
+    /** After an overload R is cut to this fraction of what the origin was last seen to deliver. */
     private static final double CUT = 0.85;
-    /** Of the fetches, given up: from there on caches would run empty. */
+    /**
+     * Above this fraction of fetches given up, fetches are no longer cancelled: otherwise the caches would run empty.
+     */
     private static final double FUTILE = 0.25;
 
+    /** Weight of one fetch in the fraction of fetches given up. */
     private static final double FUTILE_WEIGHT = 0.05;
-    /** Of the last interval's deliveries: small counts are noisy. */
+    /** Weight of the last interval in the rate of deliveries; it is small because small counts are noisy. */
     private static final double DELIVERED_WEIGHT = 0.4;
 
+    /** Initial time of the last cut, relative to the clock's 0: no cut yet. */
     private static final long LONG_AGO = -3600 * Timing.SECOND;
+
     final FetchTimes fetchTimes = new FetchTimes();
     private final Tally delivered = new Tally();
     private final DecisionContext context;
     private final Account origin;
     private final int evenShare;
-    /** Whether R has held back a fetch in this interval. */
+    /** Whether lack of supply has held back a fetch in this interval. */
     private boolean bound;
 
+    /** Whether no queue was seen at the origin at the last fetch. */
     private boolean calm = true;
+
     private long cutAt = LONG_AGO;
+    /** Recent fraction of fetches that were given up before they ended. */
     private double futile;
 
     OriginRate(DecisionContext context, Account origin, int evenShare) {
@@ -41,19 +51,29 @@
         this.evenShare = evenShare;
     }
 
-    /** Takes a fetch from the origin's budget, if there is one. */
+    /**
+     * Pays for a fetch from this router's part of the origin's budget.
+     *
+     * @return whether there was enough supply
+     */
     boolean take(boolean beyondShares) {
         boolean taken = beyondShares ? origin.takeBeyondShares() : origin.take();
         bound |= !taken;
         return taken;
     }
 
-    /** Whether so many fetches are given up that those under way had better fill their cache. */
+    /** Returns whether so many fetches are given up that the ones in progress should be finished to fill the cache. */
     boolean isFutile() {
         return futile > FUTILE;
     }
 
-    /** Learns R from how a fetch went; overload cuts it once for what was sent since the last cut. */
+    /**
+     * Updates R by the outcome of a fetch. An overload cuts R only once until fetches sent before the cut have ended.
+     *
+     * @param duration the fetch's duration in nanoseconds
+     * @param aim the latency target of the request in nanoseconds
+     * @param givenUp whether nobody waited for the fetch any more
+     */
     void fetchEnded(Outcome outcome, long duration, long aim, boolean givenUp) {
         futile += FUTILE_WEIGHT * ((givenUp ? 1 : 0) - futile);
         if (outcome == Outcome.OK) {
@@ -72,18 +92,22 @@
     private void cut() {
         cutAt = context.now();
         fetchTimes.forget();
-        // Guards against a cut by what was delivered where nothing could be yet: just after a start.
+        // Just after a start nothing can have been delivered yet, so the rate of deliveries must not set R.
         double seen = delivered.perSecond() * Account.WHOLE / origin.held();
         seen = delivered.isSettled() ? Math.max(origin.rate / 2, seen) : origin.rate;
         origin.rate = Math.max(context.settings().routers(), CUT * Math.min(origin.rate, seen));
     }
 
-    /** Ends an interval; a router that rests learns nothing. */
+    /**
+     * Ends a measuring interval: lets R grow if it has held back fetches and the origin shows no queue.
+     *
+     * @param resting whether this process is on standby; then R does not grow
+     */
     void endInterval(boolean resting) {
         delivered.endInterval(Timing.INTERVAL_SECONDS, DELIVERED_WEIGHT);
         long sinceCut = context.now() - cutAt;
-        // Guards against a budget that grows unused, or before the queue of the last overload has gone.
-        // Or while the ring has brought next to nothing of it: then a larger R is not what is missing.
+        // R must not grow while it is not used up, nor before the queue of the last overload has gone, nor while this
+        // router holds next to nothing of the budget: then a larger R would not help.
         double growth = 1 + GROWTH * Math.max(LEAST_GROWTH_SECONDS, (double) sinceCut / Timing.SECOND);
         boolean grows = bound && !resting && calm && origin.held() > evenShare / 4;
         if (grows && sinceCut > 2 * Timing.INTERVAL) {
--- a/src/main/java/slateseam/decision/ShareUse.java
+++ b/src/main/java/slateseam/decision/ShareUse.java
@@ -1,14 +1,15 @@
 package slateseam.decision;
 
-/** How a request stands to its tenant's share when it arrives. */
+/** Relation of an arriving request to its tenant's share at this router. */
 enum ShareUse {
-    /** Its tenant has not used up its share. */
+    /** The tenant has not used up its share. */
     WITHIN,
     /**
-     * Beyond the share that this router has, which has just started: the ring may still bring more. It is handled like
-     * work within, and draws no supply from other routers.
+     * The request is beyond the share that this router holds, but the router has just started and the ring may still
+     * move more of the share here. The request is handled like one within the share, but does not count as demand
+     * that draws supply from other routers.
      */
     UNSETTLED,
-    /** Beyond its tenant's share, or of a tenant that the settings do not list. */
+    /** The request is beyond its tenant's share, or its tenant is not listed in the settings. */
     BEYOND
 }
--- a/src/main/java/slateseam/decision/SharedBudgets.java
+++ b/src/main/java/slateseam/decision/SharedBudgets.java
@@ -9,28 +9,49 @@
 import slateseam.decision.Api.TellPeer;
 import slateseam.decision.Api.TierSeen;
 
-/** The origin's budget and the tenants' shares, moved between ring neighbours by the fill-ratio gap. */
+/**
+ * Divides the origin's fetch budget and the tenants' shares among all routers. Each router holds a part of every budget
+ * (its supply) and exchanges supply with its ring neighbours, and with the partners of its {@link SupplyLinks}, so that
+ * the fill ratio (supply divided by demand) becomes equal everywhere. This class decides when to exchange and how much
+ * to move; {@link Neighbour} and {@link Ledger} record what was moved.
+ *
+ * <p>R is the origin's budget of the whole tier in fetches per second, as {@link OriginRate} learns it.
+ */
 final class SharedBudgets {
-    /** Usual pauses of a dead neighbour, more than chance loses. */
+    /**
+     * A neighbour that stays silent for this many of its usual message intervals counts as dead; chance loses fewer.
+     */
     private static final int SILENCE = 4;
-    /** The paper's 1/(2d) with d = 2; here scaled by demand. */
+    /**
+     * Fraction of the fill-ratio gap that one exchange with a ring neighbour moves: 1/(2d) of the published diffusion
+     * algorithm, with d = 2 neighbours, here scaled by demand.
+     */
     private static final double ETA = 0.25;
-    /** The first R, fetches a second for each router; then learned. */
+    /** Initial value of R, in fetches per second for each router; R is learned from then on. */
     private static final double START_RATE = 40;
 
+    /** Unused supply accumulates for at most this long. */
     private static final double BURST_SECONDS = 0.25;
-    /** A tenant's burst, by the origin's. */
+    /** Burst of a tenant's share, as a multiple of the origin budget's burst for the same supply. */
     private static final double TENANT_BURST = 6;
-    /** Of a neighbour's counts of keys: some eight routers pool theirs. */
+    /**
+     * Weight at which one neighbour's key counts are forwarded to the other: some eight routers then pool their
+     * counts.
+     */
     private static final double PASSED_ON = 0.7;
-    /** What a neighbour's R weighs. */
+    /** Weight of a ring neighbour's R when it is merged into this router's R. */
     private static final double RATE_WEIGHT = 0.25;
-    /** Requests that bear the cost of one exchange. */
+    /** One exchange with each neighbour is justified by this many requests. */
     private static final double REQUESTS_AN_EXCHANGE = 5;
-    /** Exchanges in which all pages behind the first are told, if requests bear that many messages. */
+    /**
+     * All pages after the first are sent within this many exchanges, if there are enough requests to justify that many
+     * messages.
+     */
     private static final int EXCHANGES_A_ROUND = 8;
 
+    /** Start-up period of a router, in nanoseconds, in which its demand and its shares may not be known yet. */
     private static final long START = 2 * Timing.SECOND;
+
     private final DecisionContext context;
     private final TrafficStats traffic;
     private final KeyCounts keys;
@@ -38,21 +59,28 @@
     private final Account origin;
     private final OriginRate originRate;
     private final List<Account> accounts = new ArrayList<>();
-    /** How many accounts each page of the messages holds. */
+    /** The number of accounts on each page of the messages. */
     private final List<Integer> pages;
 
-    /** Those beside it on the ring, and the partners of its links, with whom it exchanges the first page alone. */
+    /** The ring neighbours, then the partners of the supply links, with whom only the first page is exchanged. */
     private final List<Neighbour> neighbours = new ArrayList<>();
 
     private final SupplyLinks links;
     private final Set<Integer> partners;
     private final EarlierSupply earlier;
-    /** Whether it uses its supply: not before its buddy has heard that it is there. */
+    /**
+     * Whether this router uses its supply. A router that has just started does not before all neighbours have answered
+     * or {@link Timing#INTERVAL} is over, as its ring successor may still use that supply on its behalf.
+     */
     private boolean joined;
 
+    /** Whether another process of this router uses the supply; see {@link Api.Rests}. */
     private boolean resting;
+    /** Number of this run of the router, from its start time in milliseconds; never 0, which means "unknown". */
     private int life;
+    /** Intervals since the first request of this run. */
     private int busyIntervals;
+
     private long startedAt;
     private long lastTick;
     private long nextInterval;
@@ -105,12 +133,16 @@
         return accounts.subList(0, pages.get(0));
     }
 
-    /** What this router holds of the origin's budget. */
+    /** Returns the part of the origin's budget that this router holds. */
     Holding holding() {
         return new Holding(origin, joined && !resting);
     }
 
-    /** Guards against a supply that two processes of one router use at once: one of them rests. */
+    /**
+     * Puts this process on standby or ends its standby. Two processes of one router, as in an upgrade, must not use
+     * the supply at the same time. At the end of the standby the process joins the ring like a router that has just
+     * started.
+     */
     void rest(boolean rests) {
         resting = rests;
         if (rests) {
@@ -121,10 +153,12 @@
         start();
     }
 
+    /** Passes on to the neighbours what the tier's membership says about a router. */
     void seen(TierSeen event) {
         neighbours.forEach(neighbour -> neighbour.seen(event));
     }
 
+    /** Adds a neighbour and sends it the first message. */
     private void meet(int peer) {
         long now = context.now();
         List<Account> shared = partners.contains(peer) ? firstPage() : accounts;
@@ -135,12 +169,18 @@
         send(neighbour, 0, true);
     }
 
-    /** Until it has seen what is asked for here, nothing moves by a demand that is only the floor. */
+    /**
+     * Returns whether this router does not know its demand yet. Until then the demand is only its floor, and no supply
+     * must move because of it.
+     */
     private boolean starting() {
         return busyIntervals < 2 && context.now() - startedAt < START;
     }
 
-    /** The same as one neighbour is to see it: its heir keeps what the earlier life told until it has told that. */
+    /**
+     * Returns whether a neighbour is to be told that this router is starting. The ring successor is told so until it
+     * has sent its reminder: it keeps what the previous run of this router reported for exactly as long.
+     */
     private boolean starting(Neighbour to) {
         return starting() || awaitsWordOf(to);
     }
@@ -156,7 +196,10 @@
         context.emit(new TellPeer(to.peer, message.encode()));
     }
 
-    /** Tells a router that has just started what its earlier life had, if this router is its heir; if not, that it owed. */
+    /**
+     * Tells a router that has just started what supply its previous run had. The ring successor always does; other
+     * neighbours only if the previous run owed supply.
+     */
     private void remind(Neighbour neighbour) {
         SupplyReminder reminder =
                 partners.isEmpty() ? null : neighbour.ledger(0).reminder();
@@ -191,7 +234,8 @@
             } else if (message != null && (neighbour.ring || message.page() == 0)) {
                 received(neighbour, message);
             } else {
-                neighbour.isThere(context.now()); // of another build: what it says is passed over
+                // A message of another version: its content is ignored, but its sender is evidently alive.
+                neighbour.isThere(context.now());
             }
         }
     }
@@ -219,14 +263,20 @@
         }
     }
 
-    /** Guards against a clock set back between two lives: this must be the later. */
+    /**
+     * Raises the number of this run above the one that a neighbour knows. Guards against a clock that was set back
+     * between two runs: the neighbour would ignore the messages of a run that seems to be the earlier.
+     */
     private void beginLaterLifeThan(int earlierLife) {
         if (earlierLife != 0 && earlierLife - life > 0) {
             life = earlierLife + 1 == 0 ? 1 : earlierLife + 1;
         }
     }
 
-    /** One that has just started takes over all pages at once: it asks for each as the one before is answered. */
+    /**
+     * Asks for the next page whose ledger is unknown. A router that has just started so takes over all pages without
+     * waiting for their turn: the answer for one page triggers the request for the next.
+     */
     private void askForUnknownPage(Neighbour of) {
         int page = of.unknownPage();
         if (page > 0) {
@@ -234,8 +284,9 @@
         }
     }
 
+    /** Merges R and the popular keys of a message that is news, and moves supply by its figures. */
     private void take(Neighbour from, SupplyMessage message, boolean knew) {
-        // Neighbours learn R together, each from few fetches; a new one takes it over.
+        // Each router sees only few fetches, so neighbours average their R; a router that has just started adopts R.
         double weight = from.ring ? RATE_WEIGHT : links.rateWeight(partners.size());
         double part = message.page() > 0 || !message.known() ? 0 : !knew && starting() ? 1 : weight;
         origin.rate = Math.pow(origin.rate, 1 - part) * Math.pow(message.rate(), part);
@@ -255,14 +306,17 @@
         return with.ring ? ETA : SupplyLinks.movedPart(partners.size());
     }
 
-    /** What is to move to the neighbour, by the fill-ratio gap. */
+    /**
+     * Returns how many units are to move to the neighbour, by the gap between the two fill ratios; below 0 if they
+     * are to come from the neighbour.
+     */
     private static int wanted(Account own, double rate, int theirs, double theirDemand, double movedPart) {
         double demand = own.fillDemand(rate);
         double gap = own.held() / demand - theirs / theirDemand;
         return (int) (movedPart * gap * 2 * demand * theirDemand / (demand + theirDemand));
     }
 
-    /** Adds the supply since the last time. */
+    /** Adds the supply that has accrued since the last call. Called at each tick. */
     void accrue() {
         long now = context.now();
         joined |= now - startedAt >= Timing.INTERVAL;
@@ -276,11 +330,12 @@
         lastTick = now;
     }
 
-    /** Whether an interval is over. */
+    /** Returns whether the present measuring interval is over. */
     boolean intervalIsOver() {
         return context.now() >= nextInterval;
     }
 
+    /** Ends a measuring interval: updates the demand of all accounts and R. */
     void endInterval() {
         nextInterval = context.now() + Timing.INTERVAL;
         if (traffic.arrivals.isKnown()) {
@@ -290,7 +345,10 @@
         originRate.endInterval(resting);
     }
 
-    /** Asks those neighbours that are to be asked again, and inherits from one that has vanished. */
+    /**
+     * Starts an exchange with each neighbour that is due, and takes over the supply of a predecessor that has
+     * vanished.
+     */
     void exchange() {
         if (resting) {
             return;
@@ -310,7 +368,8 @@
     }
 
     private void ask(Neighbour neighbour, boolean doubt, double bearable) {
-        // Guards against a router that nobody hears after its start, and that takes what it guesses others to have.
+        // A router that waits for its reminder inherits nothing. Guards against a router that is cut off when it
+        // starts and takes over supply whose amount it can only guess.
         if (!earlier.isWaiting() && neighbour.vanished(SILENCE, context.now())) {
             neighbour.inherit();
         }
@@ -324,7 +383,10 @@
         }
     }
 
-    /** Asks for pages behind the first, in turn; no more of them than the requests since the last exchange bear, but for one. */
+    /**
+     * Asks for pages after the first, in turn: at least one, and no more than the requests since the last exchange
+     * justify.
+     */
     private void askForFurtherPages(Neighbour of, double bearable) {
         int further = pages.size() - 1;
         int most = (further + EXCHANGES_A_ROUND - 1) / EXCHANGES_A_ROUND;
@@ -336,16 +398,21 @@
         }
     }
 
-    /** Counts a request of the origin, whether or not there is supply for it. */
+    /** Counts a request for an origin fetch as demand, whether or not there is supply for it. */
     void countOriginDemand(boolean withinShare) {
         (withinShare ? origin.demand : origin.beyondShares).count();
     }
 
-    /** Takes a request from its tenant's share. */
+    /**
+     * Charges a request to its tenant's share.
+     *
+     * @param tenant index of the tenant in the settings
+     */
     ShareUse useShare(int tenant) {
         int index = tenant + 1;
         Account account = index < accounts.size() ? accounts.get(index) : null;
-        // Guards against turning work away because the ring has not yet brought the share that it is due.
+        // A router with next to nothing of the share does not count its requests as beyond it. Guards against refusing
+        // work only because the ring has not yet moved the share here.
         if (account == null || account.ask() || account.held() <= evenShare / 16) {
             return ShareUse.WITHIN;
         }
--- a/src/main/java/slateseam/decision/SupplyMessage.java
+++ b/src/main/java/slateseam/decision/SupplyMessage.java
@@ -7,26 +7,28 @@
 import java.util.Map;
 
 /**
- * What ring neighbours tell each other, and its layout. A router's lives are numbered by when they began, so that a
- * message of an earlier life is told from one of the present; numbers are compared by their difference.
+ * A message between two routers that exchange supply, with its encoding. The runs of a router are numbered by their
+ * start times, so that a message of an earlier run can be told from one of the present run; the numbers wrap around
+ * and are compared by their difference.
  *
- * <p>A datagram holds few accounts, so they are divided over pages, each of which is a message of its own. The first has the layout
- * that routers before this build know; the further ones have a version of their own, which those pass over.
+ * <p>A datagram holds few accounts, so the accounts are divided over pages, each of which is a message of its own.
+ * The first page has the layout that builds without pages know; the further pages have a version number of their own,
+ * and those builds ignore them.
  *
- * @param page which part of the accounts it tells of; from 0
- * @param ask whether an answer is wanted
- * @param known whether the sender holds the pair's ledger: {@code flow} counts
- * @param starting whether the sender does not know its demand yet: {@code demand} is a floor
- * @param from life of the sender, never 0
- * @param to life of the receiver as the sender knows it, 0 if not yet
- * @param sequence number of this message of the sender
- * @param heard number of the last message that the sender has had from the receiver
- * @param rate the sender's learned R, fetches a second
- * @param flow for each account, all that went from the lower-numbered router to the higher
- * @param units for each account, the sender's own supply
- * @param held for each account, all that the sender may use: its own supply and what it has inherited
- * @param demand for each account, the sender's demand a second
- * @param popular the sender's reads lately of its most popular keys, and of all keys under 0
+ * @param page index of the page of accounts, from 0
+ * @param ask whether the sender wants an answer
+ * @param known whether the sender knows the totals of the pair's ledger; if not, {@code flow} is meaningless
+ * @param starting whether the sender does not know its demand yet; {@code demand} then is only its floor
+ * @param from number of the sender's run, never 0
+ * @param to number of the receiver's run as the sender knows it, 0 if it does not
+ * @param sequence sequence number of this message
+ * @param heard sequence number of the last message that the sender has received from the receiver
+ * @param rate the sender's learned R, in fetches per second
+ * @param flow for each account, the total moved from the lower-numbered router to the higher-numbered
+ * @param units for each account, the sender's own supply in units
+ * @param held for each account, the units that the sender may use: its own supply and that of vanished neighbours
+ * @param demand for each account, the sender's demand per second
+ * @param popular recent reads of the sender's most popular keys, and under key 0 the reads of all keys
  */
 record SupplyMessage(
         int page,
@@ -44,28 +46,43 @@
         double[] demand,
         Map<Long, Double> popular) {
     private static final byte VERSION = 3;
-    /** Of the pages behind the first. */
+    /** Version of the pages after the first. */
     private static final byte PAGE_VERSION = 4;
 
     private static final int ASK = 1;
     private static final int KNOWN = 2;
     private static final int STARTING = 4;
+    /** Bits of the flags, above which the same byte holds the number of accounts. */
     private static final int FLAG_BITS = 3;
+
     private static final int HEADER_BYTES = 22;
+    /** Size of the page index in the header of the pages after the first. */
     private static final int PAGE_BYTES = 2;
+
     private static final int ACCOUNT_BYTES = 16;
+    /** Size of a popular key with its reads. */
     private static final int KEY_BYTES = 12;
+    /** Largest datagram. */
     private static final int MESSAGE_BYTES = 256;
-    /** Fetches a second that no origin bears: one such figure would have all routers of the ring send what they have. */
+    /**
+     * Fetches per second that no origin can bear. A message with a higher R is rejected: a single such figure would
+     * make all routers of the ring send whatever they have.
+     */
     private static final double MOST_RATE = 1e6;
-    /** As many accounts as a message holds. */
+    /** The most accounts that fit in a message. */
     static final int MOST_ACCOUNTS = (MESSAGE_BYTES - HEADER_BYTES) / ACCOUNT_BYTES;
-    /** The page that tells of popular keys where the first is full of accounts, and the accounts that it holds beside them. */
+    /** The page that carries popular keys if the accounts fill the first page. */
     private static final int KEYS_PAGE = 1;
 
+    /** The most accounts on {@link #KEYS_PAGE}, so that there is room for popular keys. */
     private static final int ACCOUNTS_BESIDE_KEYS = 10;
 
-    /** How many accounts each page holds of so many; there is always a page with room for popular keys. */
+    /**
+     * Divides accounts over pages, of which at least one has room for popular keys.
+     *
+     * @param accounts the number of accounts
+     * @return the number of accounts on each page
+     */
     static List<Integer> pages(int accounts) {
         List<Integer> sizes = new ArrayList<>();
         sizes.add(Math.min(accounts, MOST_ACCOUNTS));
@@ -77,7 +94,9 @@
         return sizes;
     }
 
-    /** How many entries of popular keys fit on a page beside so many accounts; on the pages behind the second there are none. */
+    /**
+     * Returns how many popular keys fit on a page with the given number of accounts; 0 on all pages after the second.
+     */
     static int room(int page, int accounts) {
         return page > KEYS_PAGE ? 0 : (MESSAGE_BYTES - headerBytes(page) - ACCOUNT_BYTES * accounts) / KEY_BYTES;
     }
@@ -86,6 +105,7 @@
         return HEADER_BYTES + (page == 0 ? 0 : PAGE_BYTES);
     }
 
+    /** Returns the encoded message. */
     byte[] encode() {
         ByteBuffer b =
                 ByteBuffer.allocate(headerBytes(page) + ACCOUNT_BYTES * flow.length + KEY_BYTES * popular.size());
@@ -107,7 +127,12 @@
         return b.array();
     }
 
-    /** Reads a message about accounts that are divided over pages so; null if it is garbled or of another version. */
+    /**
+     * Decodes a message.
+     *
+     * @param pages the number of accounts on each page
+     * @return null if the message is malformed or of another version
+     */
     static SupplyMessage decode(byte[] bytes, List<Integer> pages) {
         int page = pageOf(bytes);
         if (page < 0 || page >= pages.size()) {
@@ -153,7 +178,7 @@
         return sound ? m : null;
     }
 
-    /** The page that a message says it is; -1 if it does not tell or is of another version. */
+    /** Returns the page index of a message; -1 if it is malformed or of another version. */
     private static int pageOf(byte[] bytes) {
         if (bytes.length < HEADER_BYTES) {
             return -1;
--- a/src/main/java/slateseam/decision/SupplyReminder.java
+++ b/src/main/java/slateseam/decision/SupplyReminder.java
@@ -4,26 +4,29 @@
 import java.util.Arrays;
 
 /**
- * What its heir on the ring tells a router that has just started, and its layout: the supply that the router's earlier life
- * had as it told last. By that the one that starts knows what the ledgers of partners say that it has not heard yet.
+ * A message, with its encoding, that reminds a router that has just started of the supply of its previous run, as
+ * that run reported it last. From it the router infers the balance of the ledgers that it has not heard from yet. It
+ * is sent by the router's ring successor, and by other neighbours if the previous run owed supply.
  *
- * @param to life of the receiver
- * @param units for each account on the first page of messages, the receiver's own supply as its earlier life told it last
+ * @param to number of the receiver's present run
+ * @param units for each account on the first page of messages, the receiver's own supply as its previous run last
+ *     reported
  */
 record SupplyReminder(int to, int[] units) {
     private static final byte VERSION = 5;
     private static final int HEADER_BYTES = 2 + Integer.BYTES;
 
-    /** Whether these bytes are to be read as a reminder. */
+    /** Returns whether an encoded message is a reminder, by its version. */
     static boolean isOne(byte[] bytes) {
         return bytes.length >= HEADER_BYTES && bytes[0] == VERSION;
     }
 
-    /** Whether the earlier life owed something. */
+    /** Returns whether the previous run owed supply of any account. */
     boolean owes() {
         return Arrays.stream(units).anyMatch(each -> each < 0);
     }
 
+    /** Returns the encoded message. */
     byte[] encode() {
         ByteBuffer b = ByteBuffer.allocate(HEADER_BYTES + Integer.BYTES * units.length);
         b.put(VERSION).put((byte) units.length).putInt(to);
@@ -33,7 +36,7 @@
         return b.array();
     }
 
-    /** Reads a reminder of so many accounts; null if it is garbled. */
+    /** Decodes a reminder of the given number of accounts; returns null if it is malformed. */
     static SupplyReminder decode(byte[] bytes, int accounts) {
         if (!isOne(bytes) || bytes[1] != accounts || bytes.length != HEADER_BYTES + Integer.BYTES * accounts) {
             return null;
--- a/src/test/java/slateseam/decision/LedgerTest.java
+++ b/src/test/java/slateseam/decision/LedgerTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One pair's books, message by message. */
+/** Tests both ends of a pair's ledger, message by message. */
 class LedgerTest {
     private static final int EVEN = Account.WHOLE / 2;
     private static final int AMOUNT = 1_000_000;
@@ -33,15 +33,16 @@
     }
 
     /**
-     * What happened: all routers together owned more than the budget, 1.001456 and 1.008781 of it at seeds 416 and 461 of {@code simulate
-     * supply}. Why: a lower end asks for supply by telling a lower total. If the higher end restarts before that arrives, its
-     * new life took the total over, so that it gave away what its heir counted as its own, or more than it had. What showed
-     * it: the totals told and adopted in a trace of both seeds (docs/incidents/2026-12-03-supply-used-twice.md).
+     * Guards against supply that is used twice: all routers together owned 1.001456 and 1.008781 of the budget at
+     * seeds 416 and 461 of {@code simulate supply}. The lower end requests supply by sending a lower total. If the
+     * higher end restarted before that message arrived, its new run adopted the total and so gave away supply that
+     * its ring successor counted as its own, or more than it had. A trace of the totals sent and adopted shows it;
+     * see docs/incidents/2026-12-03-supply-used-twice.md.
      */
     @Test
     void whatWasAskedOfAnEarlierLifeIsNotTakenFromTheNext() {
         lower.move(0, -AMOUNT / 2);
-        told(lower, LOWER_LIFE); // is lost with the earlier life
+        told(lower, LOWER_LIFE); // this message is lost with the previous run
         Account restarted = new Account(40, EVEN);
         Ledger later = new Ledger(0, false, List.of(restarted));
         lower.hear(told(later, LATER_LIFE), LOWER_LIFE);
@@ -51,7 +52,7 @@
         assertThat(lowerAccount.units).isEqualTo(EVEN - AMOUNT);
     }
 
-    /** What it gave is debited already, and stays given. */
+    /** Supply given to the previous run was debited already, and the next run must get it. */
     @Test
     void whatWasGivenToAnEarlierLifeIsTheNextOnes() {
         lower.move(0, AMOUNT);
--- a/src/test/java/slateseam/decision/ManyTenantsTest.java
+++ b/src/test/java/slateseam/decision/ManyTenantsTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import slateseam.decision.Api.*;
 
-/** However many tenants are listed, each has a share, which moves to where the tenant's requests enter. */
+/** Tests that with any number of tenants each has a share, which moves to the routers where its requests arrive. */
 class ManyTenantsTest {
-    /** The highest number that a version of the messages had before they had pages. */
+    /** The highest version number of messages before pages were introduced. */
     private static final int FORMER_VERSION = 3;
 
     private static List<Tenant> tenants(int number) {
@@ -25,7 +25,7 @@
                 .toList();
     }
 
-    /** Four routers in a ring; the tenant's requests enter by the first, 100 a second where its share of all four is 40. */
+    /** Runs four routers; the first gets 100 requests per second of one tenant, whose share of all four is 40. */
     private static Ring busy(int number, int tenant, int seconds) {
         Ring ring = new Ring(4, 5, 0.05, 0.05, tenants(number));
         ring.asks = tenant;
@@ -56,12 +56,12 @@
                 beyond += ((Job) jobs.get(request)).overShare ? 1 : 0;
                 w.drive(request, Outcome.OK);
             }
-            // A burst of 1.5 s lies within it.
+            // The burst of 1.5 s, 60 requests, is within the share.
             assertThat(beyond).as("of 300 at once of tenant " + tenant).isBetween(235, 245);
         }
     }
 
-    /** It uses an even share until its neighbour tells it; it must not stay with that. */
+    /** A router that starts uses an even share only until its neighbour has reported the totals of the page. */
     @Test
     void oneThatStartsAnewTakesOverTheSharesOfAllPages() {
         Ring ring = busy(1024, 1023, 60);
@@ -85,7 +85,9 @@
                 (1.001 * Account.WHOLE));
     }
 
-    /** A router before this build passes over the further pages; what it knows of moves as it did. */
+    /**
+     * A router of a build without pages ignores the pages after the first; the accounts of the first page still move.
+     */
     @Test
     void aRouterThatKnowsNoPagesGoesOnWithTheFirst() {
         Ring ring = new Ring(4, 8, 0, 0, tenants(64));
@@ -103,7 +105,7 @@
         }
     }
 
-    /** So that more tenants make no more messages than the requests bear. */
+    /** More tenants must not cause more messages than the number of requests justifies. */
     @Test
     void furtherPagesAreToldInTurnAndNotMoreOftenThanRequestsBear() {
         Ring ring = new Ring(2, 9, 0, 0, tenants(1024));
@@ -164,7 +166,7 @@
         }
     }
 
-    /** Where the accounts fill the first page, popular keys are told on the second. */
+    /** If the accounts fill the first page, the second carries the popular keys. */
     @Test
     void popularKeysAreToldHoweverManyTenantsThereAre() {
         Ring ring = new Ring(2, 10, 0, 0, tenants(13));
--- a/src/test/java/slateseam/decision/OriginRateTest.java
+++ b/src/test/java/slateseam/decision/OriginRateTest.java
@@ -11,7 +11,7 @@
 import org.junitpioneer.jupiter.ExpectedToFail;
 import slateseam.decision.Api.*;
 
-/** What a router that has just started, or has just taken over, learns of the origin. */
+/** Tests how R, the learned rate of origin fetches, develops after a router has started. */
 class OriginRateTest {
     private static final long QUICK = 15 * MS;
     private static final long USUAL = 120 * MS;
@@ -27,7 +27,12 @@
         return SupplyTest.accounts(w.brain).get(0).rate;
     }
 
-    /** Writes come at this rate; each that goes out ends so, after so long, while the clock goes on. */
+    /**
+     * Runs a stream of writes through the router; each attempt ends with the given outcome.
+     *
+     * @param nanos how long the stream lasts
+     * @param took how long each attempt takes, in nanoseconds
+     */
     private void pass(long nanos, int perSecond, Outcome outcome, long took) {
         double due = 0;
         for (long end = w.now + nanos; w.now < end; ) {
@@ -50,7 +55,10 @@
         }
     }
 
-    /** The review's finding 20: the budget was cut to less than a half and stayed there for seconds. */
+    /**
+     * Guards against a usual fetch time learned from a few quick first fetches: all later fetches then looked like an
+     * overload, and R was cut to less than half and stayed there for seconds.
+     */
     @Test
     void quickFirstFetchesDoNotMakeTheUsualOnesAnOverload() {
         pass(150 * MS, 40, Outcome.OK, QUICK);
@@ -61,7 +69,9 @@
         assertThat(rate()).as("R where all is usual and supply binds").isGreaterThan(1.2 * first);
     }
 
-    /** What was delivered so far is nothing then, and says nothing of what the origin can do. */
+    /**
+     * Just after a start nothing has been delivered yet, which says nothing about the rate that the origin can bear.
+     */
     @Test
     void aCutJustAfterAStartGoesNotByWhatCouldNotBeDeliveredYet() {
         double first = rate();
@@ -70,7 +80,10 @@
         assertThat(rate()).as("R after losses").isLessThan(first).isGreaterThan(0.7 * first);
     }
 
-    /** One that starts while the origin is overloaded takes that for usual, but not for long after it has ended. */
+    /**
+     * A router that starts while the origin is overloaded takes the slow fetches for usual. It must unlearn that soon
+     * after the overload has ended, and detect the next overload.
+     */
     @Test
     void oneThatStartsInAnOverloadNoticesTheNext() {
         pass(3_000 * MS, 80, Outcome.OK, 4 * USUAL);
@@ -80,7 +93,10 @@
         assertThat(rate()).as("R after the second overload").isLessThan(0.9 * calm);
     }
 
-    /** R has a floor of one fetch a second for each router, so that 1,024 of them never ask an origin for less than 1,024 a second. */
+    /**
+     * R has a floor of one fetch per second for each router, so that 1,024 routers never send an origin less than 1,024
+     * fetches per second, however little it bears.
+     */
     @Test
     @ExpectedToFail("open: R's floor grows with the number of routers")
     void manyRoutersLearnAnOriginThatBearsAHundredASecond() {
--- a/src/test/java/slateseam/decision/Ring.java
+++ b/src/test/java/slateseam/decision/Ring.java
@@ -7,32 +7,37 @@
 import java.util.Random;
 import slateseam.decision.Api.*;
 
-/** A ring of instances whose messages may be lost, doubled and overtaken; all chance comes from one seed. */
+/** A simulated ring of routers whose messages may be lost, duplicated and reordered; one seed determines all chance. */
 final class Ring {
     record Letter(int from, int to, byte[] payload, long due) {}
 
     final World[] routers;
     final Random random;
+    /** Messages on their way. */
     final List<Letter> post = new ArrayList<>();
-    /** All that was ever sent. */
+    /** All messages that were ever sent. */
     final List<Letter> everything = new ArrayList<>();
-    /** By how much each router's clock is behind. */
+    /** How far each router's clock is behind, in nanoseconds. */
     final long[] behind;
-    /** Those that stand still: they are there, and hear afterwards what came meanwhile. */
+    /** Routers that are suspended: they receive messages that arrive meanwhile when they resume. */
     final boolean[] paused;
-    /** Those whose messages get nowhere. */
+    /** Routers whose messages are all lost. */
     final boolean[] mute;
 
+    /** Probability that a message is duplicated. */
     final double repeat;
+    /** Probability that a message is lost. */
     double loss;
+
     long now = 1_000_000 * MS;
-    /** The most that the routers held together at the end of a step, since it was last set. */
+    /** The largest total of the first account that all routers held at the end of a step, since {@link #watch}. */
     long most;
 
+    /** The smallest such total. */
     long least;
 
     final List<Tenant> tenants;
-    /** Whose requests come; by its place among the tenants. */
+    /** Index of the tenant that sends the requests. */
     int asks;
 
     Ring(int n, long seed, double loss, double repeat) {
@@ -53,6 +58,7 @@
         }
     }
 
+    /** Starts a router, or restarts it without any of its state. */
     void start(int i) {
         World w = new World(World.settings(i, routers.length, false, tenants), random.nextLong(), now - behind[i]);
         w.fleet(3);
@@ -60,7 +66,7 @@
         collect(i);
     }
 
-    /** A further process of a router, which is to take over and has not yet; it is talked to by nobody. */
+    /** Returns a second process of a router, on standby until {@link #takeOver}; no messages reach it. */
     World heir(int i) {
         World w = new World(World.settings(i, routers.length, false, tenants), random.nextLong(), now - behind[i]);
         w.on(new Rests(true));
@@ -69,7 +75,7 @@
         return w;
     }
 
-    /** It takes over: what the process before does from now on reaches nobody. */
+    /** Replaces a router's process by its second one; messages of the old process are dropped from now on. */
     void takeOver(int i, World heir) {
         routers[i].on(new Rests(true));
         routers[i] = heir;
@@ -90,7 +96,7 @@
         routers[i].actions.clear();
     }
 
-    /** Lets time pass in steps of 10 ms, in each of which routers get so many requests that miss. */
+    /** Lets time pass in steps of 10 ms, in each of which router i gets {@code misses[i]} cache misses on average. */
     void pass(long nanos, double... misses) {
         for (long end = now + nanos; now < end; ) {
             now += 10 * MS;
@@ -128,19 +134,19 @@
         }
     }
 
-    /** Forgets the most and the least so far. */
+    /** Resets the largest and the smallest total to the present one. */
     void watch() {
         most = least = total(0);
     }
 
-    /** What a router may use of an account; nothing while it is away or waits for its neighbours. */
+    /** Returns the units of an account that a router may use; 0 while it is away or waits for its neighbours. */
     int held(int router, int account) {
         World w = routers[router];
         boolean joined = w != null && (boolean) SupplyTest.field(w.brain, "budgets", "joined");
         return joined ? SupplyTest.accounts(w.brain).get(account).held() : 0;
     }
 
-    /** What all routers may use together. */
+    /** Returns the units of an account that all routers together may use. */
     long total(int account) {
         long total = 0;
         for (int i = 0; i < routers.length; i++) {
--- a/src/test/java/slateseam/decision/SupplyLinksTest.java
+++ b/src/test/java/slateseam/decision/SupplyLinksTest.java
@@ -14,7 +14,7 @@
 import slateseam.decision.Api.TellPeer;
 import slateseam.decision.Api.TimerFired;
 
-/** Who is linked with whom, what is asked of partners, and what one that has just started is told. */
+/** Tests which routers are linked, the messages on links, and the encoding of reminders. */
 class SupplyLinksTest {
     private static final SupplyLinks ON = new SupplyLinks(true, 500 * MS);
 
@@ -70,11 +70,15 @@
         assertThat(told(SupplyLinks.OFF, ask(1))).hasSize(1);
     }
 
-    /** Guards against a tier of two builds, or one with dead routers, in which many are asked in vain and often. */
+    /**
+     * Guards against frequent messages to partners that never answer, as in a tier of two builds or with dead
+     * routers.
+     */
     @Test
     void whoNeverAnswersIsAskedSeldom() {
         List<TellPeer> told = told(ON, null);
-        // Every 50 ms while it waits for answers at its start, 0.25 s; then every 4 s of the 20.
+        // A message every 50 ms during the 0.25 s of its start, while the router waits for answers; then one every 4 s
+        // of the 20 s.
         assertThat(told.stream().filter(tell -> tell.to() == 4)).hasSizeBetween(5, 12);
         assertThat(told(SupplyLinks.OFF, null)).allMatch(tell -> tell.to() == 1 || tell.to() == 15);
     }
@@ -97,7 +101,7 @@
         assertThat(SupplyReminder.decode(Arrays.copyOf(bytes, bytes.length - 1), 2))
                 .isNull();
         assertThat(SupplyReminder.isOne(new byte[0])).isFalse();
-        // A build without links takes it for a message of another version.
+        // A build without links reads a reminder as a message of another version and ignores it.
         assertThat(SupplyMessage.decode(bytes, List.of(2))).isNull();
     }
 }
--- a/src/test/java/slateseam/decision/SupplyReturnTest.java
+++ b/src/test/java/slateseam/decision/SupplyReturnTest.java
@@ -14,14 +14,15 @@
 import slateseam.decision.Api.Trust;
 
 /**
- * A router that stops and returns, on a ring whose messages are doubled and overtake one another: at no step do all
- * routers together hold more than the whole but for one movement, and they hold the whole again in the end.
+ * Tests a router that stops and returns, on a ring whose messages are duplicated and reordered: at no step do all
+ * routers together hold more than the whole budget, except for one transfer, and in the end they hold all of it
+ * again.
  */
 class SupplyReturnTest {
     private static final int ITS = 1;
-    /** Where no message is lost: two ways of up to 60 ms and the step in which they are looked at. */
+    /** Longest duration of an exchange without loss: two messages of up to 60 ms each, and a step of 10 ms. */
     private static final long EXCHANGE = 130 * MS;
-    /** Else it no longer waits for its neighbours. */
+    /** Time after which a router that starts no longer waits for its neighbours. */
     private static final long WAIT = 250 * MS;
 
     private static final long MOST = Account.WHOLE / 32 * 33L;
@@ -34,7 +35,12 @@
         return demand;
     }
 
-    /** Stops the router, and its buddy too if wanted, lets time pass, and starts it; says what it held before. */
+    /**
+     * Stops the router, lets time pass and starts it again.
+     *
+     * @param buddy the ring successor, if it is to be stopped too, or -1
+     * @return the units that the router held before
+     */
     private static int stopAndReturn(Ring ring, long away, int buddy) {
         ring.pass(4000 * MS, demand(ring));
         int before = ring.held(ITS, 0);
@@ -63,7 +69,7 @@
                     assertThat(ring.total(0)).as("with its buddy").isGreaterThan(Account.WHOLE / 10 * 9L);
                 }
                 passUntilItHolds(ring, EXCHANGE);
-                // What its buddy inherited has gone in part to those who asked for it, if there was time.
+                // If there was time, the ring successor has passed on part of the supply that it inherited.
                 double part = n == 2 || away < 1_000 * MS ? 0.9 : 0.5;
                 assertThat(ring.held(ITS, 0)).as("%d routers, away %d", n, away).isGreaterThan((int) (part * before));
                 ring.pass(5_000 * MS, demand(ring));
@@ -102,7 +108,7 @@
                         ring.start(buddy);
                     }
                     passUntilItHolds(ring, WAIT);
-                    // The ledger of these two went with them: an even share, and what the other neighbour has.
+                    // The ledger of these two is lost; what remains is an even share and the other neighbour's ledger.
                     assertThat(ring.held(ITS, 0)).isGreaterThan(before / 2);
                     ring.pass(buddyAway + 10 * MS, demand(ring));
                     if (buddyAway > 0) {
@@ -117,7 +123,7 @@
         }
     }
 
-    /** Guards against a total of an earlier life that would be taken for one of the present. */
+    /** Guards against taking a total of a previous run for one of the present run. */
     @Test
     void messagesOfAnEarlierLifeAreTooLate() {
         Ring ring = new Ring(2, 5, 0, 0);
@@ -133,7 +139,7 @@
         assertThat(ring.held(1, 0)).isLessThan(Account.WHOLE / 4);
     }
 
-    /** Guards against a router that nobody listens to because its clock was set back before it started again. */
+    /** Guards against neighbours that ignore a router because its clock was set back before it started again. */
     @Test
     void aClockThatWasSetBackIsMadeGood() {
         Ring ring = new Ring(3, 6, 0, 0);
@@ -147,7 +153,7 @@
         assertThat(ring.held(ITS, 0)).isGreaterThan(before / 10 * 9);
     }
 
-    /** Its demand is a floor until it has seen any: that must not take from it what it got back. */
+    /** Until a restarted router has seen requests its demand is only a floor, which must not drain its supply again. */
     @Test
     void whatItGetsBackIsNotTakenAwayBeforeItKnowsItsDemand() {
         Ring ring = new Ring(2, 7, 0, 0);
@@ -156,7 +162,7 @@
         assertThat(ring.held(ITS, 0)).isGreaterThan(before / 10 * 9);
     }
 
-    /** The origin can bear what the neighbours know, though this life has fetched nothing yet. */
+    /** A restarted router adopts R from its neighbours, though it has fetched nothing yet. */
     @Test
     void itTakesOverWhatItsNeighboursHaveLearnedOfTheOrigin() {
         Ring ring = new Ring(2, 8, 0, 0);
@@ -169,7 +175,7 @@
         assertThat(SupplyTest.accounts(ring.routers[ITS].brain).get(0).rate).isBetween(6.9, 7.1);
     }
 
-    /** A neighbour of another build is there, though nothing that it says is understood: each keeps an even share. */
+    /** A neighbour of another version is alive, though its messages cannot be read: each router keeps an even share. */
     @Test
     void messagesOfAnotherVersionArePassedOverAndTheirSenderNotInherited() {
         World w = new World(World.settings(0, 2, false, List.of()), 3);
@@ -182,7 +188,10 @@
         assertThat(SupplyTest.accounts(w.brain).get(0).held()).isEqualTo(Account.WHOLE);
     }
 
-    /** Two processes of one router never use the supply both, and the one that takes over has it after one exchange. */
+    /**
+     * Two processes of one router never use its supply at once, and the one that takes over has it after one
+     * exchange.
+     */
     @Test
     void anUpgradeMintsNothingTwice() {
         for (int seed = 0; seed < 20; seed++) {
@@ -207,7 +216,7 @@
                 old.on(new TimerFired(1));
                 spent += old.sends(old.request(0, 2));
             }
-            // A burst that it had, of the supply of a quarter of a second, and nothing that accrues.
+            // The old process may spend the burst that it had, the supply of a quarter of a second, and nothing more.
             assertThat(spent)
                     .isLessThanOrEqualTo(
                             1 + (int) (SupplyTest.accounts(old.brain).get(0).supply() / 4));
@@ -219,7 +228,7 @@
         }
     }
 
-    /** Routers that stood still together each heard nobody meanwhile: none of them takes the others' supply for that. */
+    /** Routers that were all suspended at once have heard nobody meanwhile; none may take over the others' supply. */
     @Test
     void whatFellIntoItsOwnPauseIsNoSilenceOfTheOthers() {
         for (int n = 2; n <= 5; n++) {
@@ -239,7 +248,7 @@
         }
     }
 
-    /** One that is really gone is still inherited from by who paused, only later by that pause. */
+    /** A ring successor that was suspended still inherits from a router that has died, later by its suspension. */
     @Test
     void whoDiedDuringThePauseIsInheritedFromAfterIt() {
         Ring ring = new Ring(5, 11, 0, 0);
@@ -257,7 +266,7 @@
         ring.routers[router].on(new TierSeen(of, sight, trust));
     }
 
-    /** A cut of one way: the heir hears nothing of a router that others hear, and leaves its supply alone. */
+    /** A one-way partition: the ring successor does not hear a router that others hear, and must not use its supply. */
     @Test
     void whomOthersHearIsNotInheritedFrom() {
         Ring ring = new Ring(5, 3, 0, 0);
@@ -268,7 +277,7 @@
         ring.mute[ITS] = true;
         ring.pass(10_000 * MS, demand(ring));
         assertThat(ring.most).isLessThan(MOST);
-        // What the ring's own rule had inherited it gives back as soon as somebody hears that router.
+        // Supply that was inherited because of silence alone is returned as soon as any router hears the other.
         tell(ring, heir, ITS, Sight.UNKNOWN, Trust.FULL);
         ring.pass(4_000 * MS, demand(ring));
         assertThat(ring.total(0)).isGreaterThan(MOST);
@@ -277,7 +286,7 @@
         tell(ring, heir, ITS, Sight.THERE, Trust.FULL);
         assertThat(SupplyTest.accounts(ring.routers[heir].brain).get(0).inherited)
                 .isZero();
-        // What it had passed on meanwhile it owes, and the ring brings it back.
+        // The successor owes the supply that it has passed on meanwhile, and the ring brings it back.
         ring.pass(8_000 * MS, demand(ring));
         assertThat(ring.total(0)).isLessThan(MOST);
     }
@@ -299,7 +308,10 @@
         assertThat(after[1]).isLessThan(after[0] / 2);
     }
 
-    /** One that stood still or that nobody hears: others may use what is its own. It has it again with the books as they were. */
+    /**
+     * A router that was suspended, or that nobody hears, must not use its own supply, as others may be using it. It
+     * has the supply again afterwards, as its ledgers are unchanged.
+     */
     @Test
     void whoTrustsNothingUsesNothingAndLosesNothing() {
         Ring ring = new Ring(5, 5, 0, 0);
@@ -315,7 +327,7 @@
         assertThat(ring.total(0)).isBetween(Account.WHOLE / 16 * 15L, MOST);
     }
 
-    /** In the smaller part of a cut: its own supply and nobody else's. */
+    /** A router in the smaller part of a partition uses its own supply and inherits none. */
     @Test
     void whoTrustsOnlyItsOwnInheritsNothing() {
         Ring ring = new Ring(3, 6, 0, 0);
--- a/src/test/java/slateseam/decision/SupplyTest.java
+++ b/src/test/java/slateseam/decision/SupplyTest.java
@@ -10,14 +10,15 @@
 import org.junit.jupiter.api.Test;
 import slateseam.decision.Api.*;
 
-/** Supply is never minted, whatever happens to messages and routers. */
+/** Tests that no supply is created or lost, whatever happens to messages and routers. */
 class SupplyTest {
+    /** Returns the accounts of a router: the origin's budget, then the tenants' shares. */
     @SuppressWarnings("unchecked")
     static List<Account> accounts(Brain brain) {
         return (List<Account>) field(brain, "budgets", "accounts");
     }
 
-    /** What the module holds under these names, one within the other. */
+    /** Reads a private field, by a path of field names that starts at the given object. */
     static Object field(Object of, String... path) {
         try {
             for (String name : path) {
@@ -86,7 +87,7 @@
         assertTrue(ring.total(0) <= Account.WHOLE * 1.1, "total " + ring.total(0));
     }
 
-    /** While the ring has brought it next to nothing, a router neither raises R nor takes work for beyond its share. */
+    /** A router that holds next to nothing of a budget neither raises R nor treats requests as beyond their share. */
     @Test
     void aRouterWithoutItsShareBlamesNeitherTheOriginNorTheTenants() {
         World w = new World(World.settings(0, 2, false, List.of(new Tenant("t", 2, 1))), 3);
--- a/src/test/java/slateseam/simulate/tier/SupplyDaysTest.java
+++ b/src/test/java/slateseam/simulate/tier/SupplyDaysTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junitpioneer.jupiter.ExpectedToFail;
 
-/** Days of drawn faults; some thousands more are played by {@code simulate supply}. */
+/** Runs simulated days with random faults; {@code simulate supply} runs thousands more. */
 class SupplyDaysTest {
     @Test
     void noRuleBreaksInDaysOfFaults() {
@@ -15,7 +15,7 @@
         assertThat(TierDays.playSupply(1, 24, lines::add)).as(lines.toString()).isZero();
     }
 
-    /** See LedgerTest: what was asked of an earlier life was given by the next. */
+    /** A request for supply that was sent to the previous run of a router was granted by the next; see LedgerTest. */
     @Test
     void noSupplyIsMintedWhereARequestMeetsARestartAtSeed416() {
         assertHolds(416);
@@ -27,23 +27,30 @@
     }
 
     /**
-     * What happened: six routers owned 1.002719 of the budget at 13,008 ms. Why: router 5 had used what it inherited of a router that
-     * stood still, died owing 0.0619, and came back in the smaller half of a cut, where it used what was moved to it, as
-     * nobody told it of its debt. What showed it: each router's own part at each step (owned -0.061922 before, 0.000000 after its return).
+     * Guards against a restarted router that does not know its debt: six routers owned 1.002719 of the budget at
+     * 13,008 ms. Router 5 had used the supply inherited from a suspended router and died owing 0.0619. It came back
+     * in the smaller part of a partition, where nobody told it of the debt, and used supply that was moved to it. The
+     * own part of each router at each step shows it: router 5 owned -0.061922 before its restart and 0.000000 after.
      */
     @Test
     void noSupplyIsMintedAtSeed870135() {
         assertHolds(870_135);
     }
 
-    /** Router 0, heir of router 4 that is away, restarts and lends itself an even share for it, more than router 4 had. */
+    /**
+     * Router 0 is the ring successor of router 4, which is away. Router 0 restarts and assumes that router 4 had an
+     * even share, which is more than it had.
+     */
     @Test
     @ExpectedToFail("an heir that has restarted guesses what the router that is away had")
     void noSupplyIsMintedByAnHeirThatHasRestartedAtSeed846() {
         assertHolds(846);
     }
 
-    /** Router 1 dies within a cut from its heir, which uses what router 1 had when it was heard last. */
+    /**
+     * Router 1 dies while a partition separates it from its ring successor, which then uses the supply that router 1
+     * had when it was last heard.
+     */
     @Test
     @ExpectedToFail("an heir knows what the router that is away had before a cut, and not what it had when it died")
     void noSupplyIsMintedByAnHeirThatWasCutOffAtSeed1856() {
--- a/src/test/java/slateseam/simulate/tier/SupplyHardCasesTest.java
+++ b/src/test/java/slateseam/simulate/tier/SupplyHardCasesTest.java
@@ -9,18 +9,18 @@
 import slateseam.simulate.tier.MembersWorld.Ways;
 import slateseam.simulate.tier.SupplyWorld.Maker;
 
-/** What befalls supply that is exchanged over links, one thing at a time. */
+/** Tests the exchange of supply over links with one kind of fault at a time. */
 class SupplyHardCasesTest {
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000 * MILLI;
     private static final Maker OFF = Brain::new;
     private static final Maker ON = (settings, seed) -> new Brain(settings, seed, new SupplyLinks(true, SECOND / 2));
-    /** Rounding. */
+    /** Tolerance for rounding, as a fraction of the budget. */
     private static final double EXACT = 1e-6;
-    /** What may be on its way while demand varies by chance. */
+    /** Fraction of the budget that may be in transit while demand varies by chance. */
     private static final double ON_ITS_WAY = 0.1;
 
-    /** Routers of which the first has so much more to do that it has been given much of the others' supply. */
+    /** Starts routers of which the first has so much more demand that much of the others' supply has moved to it. */
     private static SupplyWorld uneven(int routers, Ways ways) {
         SupplyWorld world = new SupplyWorld(routers, 1, ways, ON);
         IntStream.range(0, routers).forEach(i -> world.demand(i, i == 0 ? 20.0 * routers : 10));
@@ -30,12 +30,12 @@
         return world;
     }
 
-    /** At no step do they own more than there is. */
+    /** Runs the simulation; at no step may all routers together own more than the budget. */
     private static void run(SupplyWorld world, long nanos) {
         world.run(nanos, () -> assertThat(world.owned()).isLessThan(1 + EXACT));
     }
 
-    /** Once nothing is asked for any more, the supply is whole and the ends of each pair tell the same. */
+    /** Ends all demand; the supply must then be complete, and both ends of each ledger must report the same totals. */
     private static void endsWhole(SupplyWorld world) {
         IntStream.range(0, world.size()).forEach(i -> world.demand(i, 0));
         run(world, 20 * SECOND);
@@ -55,7 +55,7 @@
         return world.imbalance() / first;
     }
 
-    /** Half of an imbalance crosses sixty routers within 6 s; along the ring alone most of it is still there. */
+    /** Half of an imbalance crosses sixty routers within 6 s; along the ring alone most of it remains. */
     @Test
     void supplyCrossesTheTierInAFewSteps() {
         assertThat(leftAfter(60, ON, 6 * SECOND)).isLessThan(0.5);
@@ -70,7 +70,8 @@
         world.run(3 * SECOND);
         world.clearTally();
         world.run(5 * SECOND);
-        // Twelve links twice a second and two ring neighbours up to four times, a half of the messages each.
+        // Twelve links twice a second and two ring neighbours up to four times a second; each end sends half of the
+        // messages.
         assertThat(world.tally().datagrams / 5.0 / world.size()).isLessThan(12 * 2 + 2 * 4 + 4);
         assertThat(world.tally().bytes / 5.0 / world.size()).isLessThan(5_000);
     }
@@ -80,7 +81,7 @@
         SupplyWorld world = new SupplyWorld(12, 2, Ways.USUAL, ON);
         IntStream.range(0, 12).forEach(i -> world.demand(i, i == 0 ? 240 : 10));
         world.startAll();
-        run(world, 2 * SECOND); // transfers are under way on all links of the first
+        run(world, 2 * SECOND); // transfers are in transit on all links of the first router
         world.kill(4);
         run(world, SECOND);
         world.kill(8);
@@ -91,7 +92,10 @@
         endsWhole(world);
     }
 
-    /** It has given most of its supply away, and comes back where it hears only its heir: it uses what is left and no more. */
+    /**
+     * A router that has given away most of its supply restarts within a partition where it hears only its ring
+     * successor: it must use what is left and no more.
+     */
     @Test
     void aRestartBehindACutUsesNothingThatItGaveAway() {
         SupplyWorld world = uneven(12, Ways.USUAL);
@@ -108,7 +112,7 @@
         endsWhole(world);
     }
 
-    /** The same where it hears nobody at all: it uses nothing, as it knows nothing. */
+    /** The same for a router that hears nobody at all: it must use nothing, as it does not know its supply. */
     @Test
     void aRestartThatHearsNobodyUsesNothingForAMinute() {
         SupplyWorld world = uneven(12, Ways.USUAL);
@@ -176,7 +180,10 @@
         endsWhole(world);
     }
 
-    /** Old routers pass over what they are asked; ring neighbours of both builds go on as before. */
+    /**
+     * Routers of a build without links ignore messages of partners; ring neighbours of both builds exchange as
+     * before.
+     */
     @Test
     void oldAndNewBuildsStandSideBySide() {
         SupplyWorld world = new SupplyWorld(12, 3, Ways.USUAL, ON);
@@ -185,10 +192,10 @@
         world.startAll();
         run(world, 20 * SECOND);
         assertThat(world.owned()).isGreaterThan(1 - ON_ITS_WAY);
-        // All pairs beside one another on the ring, and of links those of two new routers: six at a distance of 2,
-        // three at 4 and 8.
+        // All pairs of ring neighbours, and the links between two routers of the new build: six at distance 2, three
+        // each at distances 4 and 8.
         assertThat(world.books().pairs()).isEqualTo(12 + 6 + 6);
-        // All are of the new build in the end, one after the other.
+        // The routers of the old build are upgraded one after the other.
         for (int i = 0; i < 12; i += 2) {
             world.kill(i);
             world.make(i, ON);
