--- a/src/main/java/slateseam/decision/Account.java
+++ b/src/main/java/slateseam/decision/Account.java
@@ -13,9 +13,9 @@
      * Multiple of the demand within shares that is reserved for that demand: it comes in bursts, and a request that has
      * to wait for supply is late.
      */
-    private static final double HEADROOM = 1.25;
+    private static final double DEMAND_HEADROOM = 1.25;
     /** Fraction of the burst, apart from the first token, that is kept for demand within shares. */
-    private static final double RESERVED_BURST = 0.75;
+    private static final double RESERVED_BURST_FRACTION = 0.75;
 
     /**
      * This router's own supply: an even share plus the net sum of all transfers; below 0 while the router owes
@@ -26,11 +26,11 @@
      * Assumed balance of the ledgers whose other end has not been heard since this router started. Only a debt counts:
      * supply that those ledgers owe this router is not used.
      */
-    int unheard;
+    int assumedBalance;
     /** Supply that this router uses on behalf of neighbours that have vanished. */
     int inherited;
     /** Whether this supply must not be used now because other routers may be using it. */
-    boolean rests;
+    boolean suspended;
     /** The whole budget of the tier, per second. */
     double rate;
     /** Demand within tenants' shares: all demand that is not counted in {@link #beyondShares}. */
@@ -48,17 +48,17 @@
 
     /** Returns the units that this router may use now; below 0 while it owes supply. */
     int held() {
-        return rests ? Math.min(0, booked()) : booked();
+        return suspended ? Math.min(0, ownAndInherited()) : ownAndInherited();
     }
 
     /** Returns the units of {@link #held()} whether or not they may be used now. */
-    int booked() {
+    int ownAndInherited() {
         return own() + inherited;
     }
 
     /** Returns this router's own units, less what it may owe by ledgers that it has not heard yet. */
     int own() {
-        return units + Math.min(0, unheard);
+        return units + Math.min(0, assumedBalance);
     }
 
     /** Returns the usable supply per second. */
@@ -76,12 +76,12 @@
      */
     double fillDemand(double wholeRate) {
         double within = demand.perSecond();
-        double reserved = HEADROOM * within;
+        double reserved = DEMAND_HEADROOM * within;
         double supply = Math.max(0, held()) * wholeRate / WHOLE;
         if (supply <= reserved) {
             return within;
         }
-        double fillRatio = HEADROOM + (supply - reserved) / (within + beyondShares.perSecond());
+        double fillRatio = DEMAND_HEADROOM + (supply - reserved) / (within + beyondShares.perSecond());
         return supply / fillRatio;
     }
 
@@ -98,14 +98,14 @@
     }
 
     /** Counts one request as demand and takes a token; returns whether there was one. */
-    boolean ask() {
+    boolean countAndTake() {
         demand.count();
         return take();
     }
 
     /** Takes a token for demand beyond shares, if enough are left for a burst of demand within shares. */
     boolean takeBeyondShares() {
-        return tokens >= 1 + RESERVED_BURST * (burst - 1) && take();
+        return tokens >= 1 + RESERVED_BURST_FRACTION * (burst - 1) && take();
     }
 
     /** Takes a token; returns whether there was one. */
--- a/src/main/java/slateseam/decision/EarlierSupply.java
+++ b/src/main/java/slateseam/decision/EarlierSupply.java
@@ -15,15 +15,15 @@
  */
 final class EarlierSupply {
     /** Time-out in nanoseconds if the ring successor has answered but sent no reminder: it has none. */
-    private static final long HEIR_KNOWS_NOTHING = 10 * Timing.SECOND;
+    private static final long NO_REMINDER_TIMEOUT_NANOS = 10 * Timing.SECOND;
     /** Time-out in nanoseconds if the ring successor has not answered: it may be away for good. */
-    private static final long HEIR_UNHEARD = 60 * Timing.SECOND;
+    private static final long SILENT_SUCCESSOR_TIMEOUT_NANOS = 60 * Timing.SECOND;
 
     private enum State {
         /** The router uses only supply that is moved to it in this run. */
         WAITING,
         /** The supply of the previous run is known, but not all ledgers are. */
-        TOLD,
+        REMINDED,
         /** All ledgers are known, or taken for known. */
         SETTLED
     }
@@ -32,18 +32,18 @@
     /**
      * Supply at the start of this run as far as it is known: the even share and the balances of ledgers known again.
      */
-    private final int[] base;
+    private final int[] knownUnits;
 
     /** The units of each account before the message that is being processed. */
-    private final int[] before;
+    private final int[] unitsBefore;
 
     private State state = State.SETTLED;
     private long startedAt;
 
     EarlierSupply(List<Account> accounts) {
         this.accounts = accounts;
-        this.base = new int[accounts.size()];
-        this.before = new int[accounts.size()];
+        this.knownUnits = new int[accounts.size()];
+        this.unitsBefore = new int[accounts.size()];
     }
 
     /**
@@ -54,9 +54,9 @@
     void start(boolean hasPartners, long now) {
         state = hasPartners ? State.WAITING : State.SETTLED;
         startedAt = now;
-        for (int a = 0; a < base.length; a++) {
-            base[a] = accounts.get(a).units;
-            accounts.get(a).unheard = hasPartners ? -base[a] : 0;
+        for (int a = 0; a < knownUnits.length; a++) {
+            knownUnits[a] = accounts.get(a).units;
+            accounts.get(a).assumedBalance = hasPartners ? -knownUnits[a] : 0;
         }
     }
 
@@ -66,11 +66,11 @@
     }
 
     /** Takes over the reminder of the ring successor, whose ledger must be known again. */
-    void told(SupplyReminder reminder) {
+    void remindedBySuccessor(SupplyReminder reminder) {
         if (state == State.WAITING) {
-            state = State.TOLD;
-            for (int a = 0; a < base.length; a++) {
-                accounts.get(a).unheard = reminder.units()[a] - base[a];
+            state = State.REMINDED;
+            for (int a = 0; a < knownUnits.length; a++) {
+                accounts.get(a).assumedBalance = reminder.units()[a] - knownUnits[a];
             }
         }
     }
@@ -80,46 +80,49 @@
      * successor may have passed on any supply. Guards against a router that restarts within a network partition and
      * uses supply that is moved to it though it owes supply.
      */
-    void toldByPartner(SupplyReminder reminder) {
+    void remindedByOther(SupplyReminder reminder) {
         if (state == State.WAITING) {
-            for (int a = 0; a < base.length; a++) {
-                accounts.get(a).unheard = Math.min(accounts.get(a).unheard, Math.min(0, reminder.units()[a]) - base[a]);
+            for (int a = 0; a < knownUnits.length; a++) {
+                accounts.get(a).assumedBalance =
+                        Math.min(accounts.get(a).assumedBalance, Math.min(0, reminder.units()[a]) - knownUnits[a]);
             }
         }
     }
 
     /** Is called before a message is processed, which may make a ledger known again. */
-    void hearing() {
-        for (int a = 0; a < before.length; a++) {
-            before[a] = accounts.get(a).units;
+    void beforeMessage() {
+        for (int a = 0; a < unitsBefore.length; a++) {
+            unitsBefore[a] = accounts.get(a).units;
         }
     }
 
     /**
      * Is called when the message has made a ledger known again: moves its balance from the unknown part to the known.
      *
-     * @param allKnown whether all ledgers are known now
+     * @param allLedgersKnown whether all ledgers are known now
      */
-    void adopted(boolean allKnown) {
-        for (int a = 0; a < base.length; a++) {
-            int said = accounts.get(a).units - before[a];
-            base[a] += said;
-            accounts.get(a).unheard -= state == State.SETTLED ? 0 : said;
+    void ledgerKnown(boolean allLedgersKnown) {
+        for (int a = 0; a < knownUnits.length; a++) {
+            int balance = accounts.get(a).units - unitsBefore[a];
+            knownUnits[a] += balance;
+            accounts.get(a).assumedBalance -= state == State.SETTLED ? 0 : balance;
         }
-        if (allKnown) {
+        if (allLedgersKnown) {
             settle();
         }
     }
 
     /** Is called at each tick; gives up waiting for the ring successor's reminder after the time-out. */
-    void pass(boolean heirAnswered, long now) {
-        if (state == State.WAITING && now - startedAt >= (heirAnswered ? HEIR_KNOWS_NOTHING : HEIR_UNHEARD)) {
+    void tick(boolean successorAnswered, long now) {
+        if (state == State.WAITING
+                && now - startedAt
+                        >= (successorAnswered ? NO_REMINDER_TIMEOUT_NANOS : SILENT_SUCCESSOR_TIMEOUT_NANOS)) {
             settle();
         }
     }
 
     private void settle() {
         state = State.SETTLED;
-        accounts.forEach(account -> account.unheard = 0);
+        accounts.forEach(account -> account.assumedBalance = 0);
     }
 }
--- a/src/main/java/slateseam/decision/Ledger.java
+++ b/src/main/java/slateseam/decision/Ledger.java
@@ -21,40 +21,40 @@
     private boolean answered;
     private boolean mayMove;
     /** Whether the other end has reported its units at all. */
-    private boolean told;
+    private boolean hasReport;
     /** Whether the last report came from an end that knew its totals and its demand, and not from one just started. */
-    private boolean toldByBooks;
+    private boolean reportIsReliable;
 
     /** Number of the other router's run that was heard last; 0 if none was. */
-    private int life;
+    private int peerRunNumber;
     /** Sequence number of the last message sent. */
-    private int sent;
+    private int lastSent;
     /** Sequence number of the last message received. */
-    private int heard;
+    private int lastReceived;
     /** For each account, the total moved from the lower to the higher end, as this end reports it. */
     private final int[] flow;
     /** The same total as the other end was last seen to have it. */
-    private final int[] settled;
-    /** The total that came with {@link #theirUnits}. */
-    private int[] theirFlow;
+    private final int[] confirmedFlow;
+    /** The total that came with {@link #reportedUnits}. */
+    private int[] reportedFlow;
     /** The other router's own units for each account, as it reported them last. */
-    private int[] theirUnits;
+    private int[] reportedUnits;
     /** The other router's units that this router uses while the other is away; null if none. */
-    private int[] loan;
+    private int[] inheritedUnits;
 
     Ledger(int page, boolean lower, List<Account> accounts) {
         this.page = page;
         this.lower = lower;
         this.accounts = accounts;
         flow = new int[accounts.size()];
-        settled = flow.clone();
-        theirFlow = flow.clone();
-        theirUnits = accounts.stream().mapToInt(a -> a.units).toArray();
+        confirmedFlow = flow.clone();
+        reportedFlow = flow.clone();
+        reportedUnits = accounts.stream().mapToInt(a -> a.units).toArray();
     }
 
     /** Returns the number of the other router's run that was heard last; 0 if none was. */
-    int life() {
-        return life;
+    int peerRunNumber() {
+        return peerRunNumber;
     }
 
     /** Returns whether the other router has sent anything to the present run of this router. */
@@ -73,21 +73,22 @@
     }
 
     /** Returns an account by its position on this page. */
-    Account account(int place) {
-        return accounts.get(place);
+    Account account(int position) {
+        return accounts.get(position);
     }
 
     /** Builds the next message about this page and gives it the next sequence number. */
-    SupplyMessage message(boolean ask, boolean starting, int me, double rate, Map<Long, Double> popular) {
+    SupplyMessage message(
+            boolean answerWanted, boolean starting, int runNumber, double rate, Map<Long, Double> popular) {
         return new SupplyMessage(
                 page,
-                ask,
+                answerWanted,
                 known,
                 starting,
-                me,
-                life,
-                ++sent,
-                heard,
+                runNumber,
+                peerRunNumber,
+                ++lastSent,
+                lastReceived,
                 rate,
                 flow.clone(),
                 accounts.stream().mapToInt(Account::own).toArray(),
@@ -99,63 +100,63 @@
     }
 
     /** Returns whether a message is from a later run of the other router than all messages before. */
-    boolean isAnew(SupplyMessage m) {
-        return life == 0 || m.from() - life > 0;
+    boolean isFromNewRun(SupplyMessage m) {
+        return peerRunNumber == 0 || m.senderRun() - peerRunNumber > 0;
     }
 
     /**
      * Returns whether a message is neither a duplicate nor out of order nor from an earlier run of the other router.
      */
-    boolean isNews(SupplyMessage m) {
-        return isAnew(m) || m.from() == life && m.sequence() - heard > 0;
+    boolean isNew(SupplyMessage m) {
+        return isFromNewRun(m) || m.senderRun() == peerRunNumber && m.sequence() - lastReceived > 0;
     }
 
     /**
-     * Processes a message for which {@link #isNews} holds.
+     * Processes a message for which {@link #isNew} holds.
      *
-     * @param me number of the present run of this router
+     * @param runNumber number of the present run of this router
      */
-    void hear(SupplyMessage m, int me) {
-        if (lower && isAnew(m) && !m.known()) {
+    void receive(SupplyMessage m, int runNumber) {
+        if (lower && isFromNewRun(m) && !m.known()) {
             withdrawRequests();
         }
-        life = m.from();
-        heard = m.sequence();
+        peerRunNumber = m.senderRun();
+        lastReceived = m.sequence();
         // A router that has just started does not know its supply yet; the report of its previous run still holds.
-        if (!told || m.known() && !m.starting()) {
-            theirUnits = m.units().clone();
-            theirFlow = m.flow();
-            told = true;
-            toldByBooks = m.known() && !m.starting();
+        if (!hasReport || m.known() && !m.starting()) {
+            reportedUnits = m.units().clone();
+            reportedFlow = m.flow();
+            hasReport = true;
+            reportIsReliable = m.known() && !m.starting();
         }
         mayMove = false;
-        if (m.to() == me) {
-            take(m);
+        if (m.receiverRun() == runNumber) {
+            reconcile(m);
         }
     }
 
     /** Brings the totals of both ends together, by a message to the present run of this router. */
-    private void take(SupplyMessage m) {
+    private void reconcile(SupplyMessage m) {
         answered = true;
-        boolean had = known;
+        boolean wasKnown = known;
         known = true;
         // If both ends have just started, the totals begin at 0.
-        if (!had && m.known()) {
+        if (!wasKnown && m.known()) {
             adopt(m.flow());
-        } else if (had && m.known() && !lower) {
+        } else if (wasKnown && m.known() && !lower) {
             apply(m.flow());
-        } else if (had && m.known() && m.heard() == sent) {
-            settle(m.flow());
+        } else if (wasKnown && m.known() && m.acknowledged() == lastSent) {
+            confirm(m.flow());
             mayMove = !m.starting();
         }
     }
 
     /** Takes over the totals of the other end, which this end has lost in its restart. */
-    private void adopt(int[] theirs) {
+    private void adopt(int[] peerFlow) {
         for (int a = 0; a < flow.length; a++) {
-            accounts.get(a).units += lower ? -theirs[a] : theirs[a];
-            flow[a] = theirs[a];
-            settled[a] = theirs[a];
+            accounts.get(a).units += lower ? -peerFlow[a] : peerFlow[a];
+            flow[a] = peerFlow[a];
+            confirmedFlow[a] = peerFlow[a];
         }
     }
 
@@ -166,27 +167,27 @@
      */
     private void withdrawRequests() {
         for (int a = 0; a < flow.length; a++) {
-            flow[a] = debited(a);
+            flow[a] = flowWithoutRequests(a);
         }
     }
 
     /** Higher end: credits supply that it was given, and grants requests as far as it has the supply. */
-    private void apply(int[] theirs) {
+    private void apply(int[] peerFlow) {
         for (int a = 0; a < flow.length; a++) {
             Account own = accounts.get(a);
-            int moved = Math.max(theirs[a] - flow[a], -Math.max(0, own.held()));
+            int moved = Math.max(peerFlow[a] - flow[a], -Math.max(0, own.held()));
             own.units += moved;
             flow[a] += moved;
-            theirUnits[a] += Math.max(0, -moved);
+            reportedUnits[a] += Math.max(0, -moved);
         }
     }
 
     /** Lower end: takes back what the other end has not credited, and credits what the other end granted. */
-    private void settle(int[] theirs) {
+    private void confirm(int[] peerFlow) {
         for (int a = 0; a < flow.length; a++) {
-            accounts.get(a).units += debited(a) - theirs[a];
-            flow[a] = theirs[a];
-            settled[a] = theirs[a];
+            accounts.get(a).units += flowWithoutRequests(a) - peerFlow[a];
+            flow[a] = peerFlow[a];
+            confirmedFlow[a] = peerFlow[a];
         }
     }
 
@@ -195,8 +196,8 @@
      * request to the other end, which is credited only once granted.
      */
     void move(int a, int amount) {
-        int most = Math.max(0, accounts.get(a).held());
-        int moved = Math.min(amount, most);
+        int available = Math.max(0, accounts.get(a).held());
+        int moved = Math.min(amount, available);
         flow[a] += moved;
         accounts.get(a).units -= Math.max(0, moved);
     }
@@ -205,29 +206,32 @@
      * Returns the total without requests that have not been granted. Totals are compared by their difference: they
      * overflow where supply moves round the ring for a long time.
      */
-    private int debited(int a) {
-        return flow[a] - settled[a] > 0 ? flow[a] : settled[a];
+    private int flowWithoutRequests(int a) {
+        return flow[a] - confirmedFlow[a] > 0 ? flow[a] : confirmedFlow[a];
     }
 
-    /** Uses the other router's supply until {@link #giveBack} is called. */
+    /** Uses the other router's supply until {@link #endInheritance} is called. */
     void inherit() {
-        loan = new int[flow.length];
-        for (int a = 0; a < loan.length; a++) {
-            loan[a] = Math.max(0, theirs(a));
-            accounts.get(a).inherited += loan[a];
+        inheritedUnits = new int[flow.length];
+        for (int a = 0; a < inheritedUnits.length; a++) {
+            inheritedUnits[a] = Math.max(0, currentPeerUnits(a));
+            accounts.get(a).inherited += inheritedUnits[a];
         }
     }
 
     /** Returns the other router's own units as it reported them last, with what has moved to it since. */
-    private int theirs(int a) {
-        return theirUnits[a] + (lower ? debited(a) - theirFlow[a] : 0);
+    private int currentPeerUnits(int a) {
+        return reportedUnits[a] + (lower ? flowWithoutRequests(a) - reportedFlow[a] : 0);
     }
 
     /** Returns what a restarted router is to learn about its previous run; null if this end does not know. */
     SupplyReminder reminder() {
-        return toldByBooks && known
+        return reportIsReliable && known
                 ? new SupplyReminder(
-                        life, IntStream.range(0, flow.length).map(this::theirs).toArray())
+                        peerRunNumber,
+                        IntStream.range(0, flow.length)
+                                .map(this::currentPeerUnits)
+                                .toArray())
                 : null;
     }
 
@@ -237,20 +241,20 @@
      * @param lost whether the other router has lost its totals; then what this router passed on of that supply and no
      *     longer has is recorded as moved to this end, so that neither router owes it
      */
-    void giveBack(boolean lost) {
-        if (loan == null) {
+    void endInheritance(boolean lost) {
+        if (inheritedUnits == null) {
             return;
         }
-        for (int a = 0; a < loan.length; a++) {
+        for (int a = 0; a < inheritedUnits.length; a++) {
             Account own = accounts.get(a);
-            own.inherited -= loan[a];
-            int gone = lost ? Math.min(loan[a], Math.max(0, -own.booked())) : 0;
-            known |= gone > 0;
-            own.units += gone;
-            flow[a] += lower ? -gone : gone;
-            settled[a] += lower ? -gone : gone;
-            theirUnits[a] -= lower ? 0 : gone;
+            own.inherited -= inheritedUnits[a];
+            int spent = lost ? Math.min(inheritedUnits[a], Math.max(0, -own.ownAndInherited())) : 0;
+            known |= spent > 0;
+            own.units += spent;
+            flow[a] += lower ? -spent : spent;
+            confirmedFlow[a] += lower ? -spent : spent;
+            reportedUnits[a] -= lower ? 0 : spent;
         }
-        loan = null;
+        inheritedUnits = null;
     }
 }
--- a/src/main/java/slateseam/decision/Neighbour.java
+++ b/src/main/java/slateseam/decision/Neighbour.java
@@ -37,9 +37,9 @@
 final class Neighbour {
     private static final long SECOND = 1_000_000_000L;
     /** The shortest interval between messages that is expected of a neighbour, in nanoseconds. */
-    private static final long LEAST_PAUSE = SECOND / 4;
+    private static final long MIN_PAUSE_NANOS = SECOND / 4;
     /** If more time than this passes between two ticks, in nanoseconds, this router itself was suspended. */
-    private static final long STOOD_STILL = SECOND / 4;
+    private static final long SUSPENSION_NANOS = SECOND / 4;
     /** The number of the other router. */
     final int peer;
     /** Whether this router has the lower number of the two. Only the lower end initiates transfers. */
@@ -47,21 +47,21 @@
     /** Whether this router is the other's ring successor, which uses the other's supply while the other is away. */
     final boolean buddy;
     /** Whether the other router is a ring neighbour; if not, it is the partner of a supply link. */
-    final boolean ring;
+    final boolean isRingNeighbour;
     /** Whether the other router is this router's ring successor. */
-    final boolean heir;
+    final boolean peerIsSuccessor;
 
     private final List<Account> accounts;
     /** The ledgers, one for each page of the messages. */
     private final List<Ledger> ledgers = new ArrayList<>();
     /** The page after the first that was asked for last. */
-    private int turn;
+    private int lastFurtherPage;
     /** Whether this router now uses the other's supply. */
     private boolean inherits;
 
     private long heardAt;
-    private long askedAt;
-    private long lookedAt;
+    private long lastExchangeAt;
+    private long lastTickAt;
     private Sight sight = Sight.UNKNOWN;
     private Trust trust = Trust.FULL;
     /** The usual interval between the other router's messages, in nanoseconds. */
@@ -72,12 +72,12 @@
         this.accounts = accounts;
         lower = me < peer;
         buddy = (peer + 1) % routers == me;
-        heir = (me + 1) % routers == peer;
-        ring = buddy || heir;
+        peerIsSuccessor = (me + 1) % routers == peer;
+        isRingNeighbour = buddy || peerIsSuccessor;
         heardAt = now;
-        lookedAt = now;
+        lastTickAt = now;
         int first = 0;
-        for (int size : SupplyMessage.pages(accounts.size())) {
+        for (int size : SupplyMessage.pageSizes(accounts.size())) {
             ledgers.add(new Ledger(ledgers.size(), lower, accounts.subList(first, first + size)));
             first += size;
         }
@@ -95,8 +95,8 @@
 
     /** Returns the next page after the first, in turn. */
     int nextPage() {
-        turn = turn + 1 < ledgers.size() ? turn + 1 : 1;
-        return turn;
+        lastFurtherPage = lastFurtherPage + 1 < ledgers.size() ? lastFurtherPage + 1 : 1;
+        return lastFurtherPage;
     }
 
     /** Returns the first page after page 0 whose ledger this end does not know; 0 if there is none. */
@@ -112,40 +112,40 @@
     /**
      * Processes a message of the other router.
      *
-     * @param me number of the present run of this router
+     * @param runNumber number of the present run of this router
      * @return false if the message is a duplicate, out of order or from an earlier run; then nothing is changed
      */
-    boolean hear(SupplyMessage m, int me, long now) {
+    boolean receive(SupplyMessage m, int runNumber, long now) {
         Ledger ledger = ledgers.get(m.page());
-        if (!ledger.isNews(m)) {
+        if (!ledger.isNew(m)) {
             return false;
         }
         for (Ledger each : ledgers) {
-            each.giveBack(each.isAnew(m) && !m.known());
+            each.endInheritance(each.isFromNewRun(m) && !m.known());
         }
         inherits = false;
-        if (m.page() == 0 && !ledger.isAnew(m)) {
+        if (m.page() == 0 && !ledger.isFromNewRun(m)) {
             pause += (Math.min(now - heardAt, 2 * SECOND) - pause) / 2;
         }
         heardAt = now;
-        ledger.hear(m, me);
+        ledger.receive(m, runNumber);
         return true;
     }
 
     /** Notes that the other router is alive though its message cannot be read, so that its supply is not used twice. */
-    void isThere(long now) {
-        giveBack();
+    void noteAlive(long now) {
+        endInheritance();
         heardAt = now;
     }
 
     /** Returns when the last exchange with this neighbour was begun. */
-    long askedAt() {
-        return askedAt;
+    long lastExchangeAt() {
+        return lastExchangeAt;
     }
 
     /** Notes that an exchange with this neighbour begins. */
-    void asked(long now) {
-        askedAt = now;
+    void exchangeBegan(long now) {
+        lastExchangeAt = now;
     }
 
     /**
@@ -153,11 +153,11 @@
      * other. Guards against a router that resumes, finds that it has heard nobody, and takes over the supply of routers
      * that were alive all the time.
      */
-    void look(long now) {
-        if (now - lookedAt > STOOD_STILL) {
-            heardAt = Math.min(now, heardAt + now - lookedAt);
+    void tick(long now) {
+        if (now - lastTickAt > SUSPENSION_NANOS) {
+            heardAt = Math.min(now, heardAt + now - lastTickAt);
         }
-        lookedAt = now;
+        lastTickAt = now;
     }
 
     /**
@@ -165,8 +165,8 @@
      * given number of its usual message intervals. Counting several intervals guards against lost messages that keep a
      * returning router from its supply, or make a router that is alive look dead.
      */
-    boolean missed(int pauses, long now) {
-        return buddy && !inherits && now - heardAt > pauses * Math.max(LEAST_PAUSE, pause);
+    boolean wasSilentFor(int pauses, long now) {
+        return buddy && !inherits && now - heardAt > pauses * Math.max(MIN_PAUSE_NANOS, pause);
     }
 
     /**
@@ -174,12 +174,12 @@
      * any other router hears uses its supply itself. A router that does not fully trust its view uses no supply of
      * others, and with no trust at all not even its own, as others may be using that.
      */
-    void seen(TierSeen e) {
+    void tierChanged(TierSeen e) {
         trust = e.trust();
-        accounts.forEach(a -> a.rests = trust == Trust.NONE);
+        accounts.forEach(a -> a.suspended = trust == Trust.NONE);
         sight = e.peer() == peer ? e.sight() : sight;
         if (sight == Sight.THERE || trust != Trust.FULL) {
-            giveBack();
+            endInheritance();
         }
     }
 
@@ -189,7 +189,7 @@
      * missed interval is enough.
      */
     boolean vanished(int pauses, long now) {
-        return trust == Trust.FULL && sight != Sight.THERE && missed(sight == Sight.GONE ? 1 : pauses, now);
+        return trust == Trust.FULL && sight != Sight.THERE && wasSilentFor(sight == Sight.GONE ? 1 : pauses, now);
     }
 
     /** Begins to use the other router's supply, until it is heard again. */
@@ -199,8 +199,8 @@
     }
 
     /** Stops using the other router's supply. */
-    private void giveBack() {
+    private void endInheritance() {
         inherits = false;
-        ledgers.forEach(ledger -> ledger.giveBack(false));
+        ledgers.forEach(ledger -> ledger.endInheritance(false));
     }
 }
--- a/src/main/java/slateseam/decision/SupplyMessage.java
+++ b/src/main/java/slateseam/decision/SupplyMessage.java
@@ -16,13 +16,13 @@
  * and those builds ignore them.
  *
  * @param page index of the page of accounts, from 0
- * @param ask whether the sender wants an answer
+ * @param answerWanted whether the sender wants an answer
  * @param known whether the sender knows the totals of the pair's ledger; if not, {@code flow} is meaningless
  * @param starting whether the sender does not know its demand yet; {@code demand} then is only its floor
- * @param from number of the sender's run, never 0
- * @param to number of the receiver's run as the sender knows it, 0 if it does not
+ * @param senderRun number of the sender's run, never 0
+ * @param receiverRun number of the receiver's run as the sender knows it, 0 if it does not
  * @param sequence sequence number of this message
- * @param heard sequence number of the last message that the sender has received from the receiver
+ * @param acknowledged sequence number of the last message that the sender has received from the receiver
  * @param rate the sender's learned R, in fetches per second
  * @param flow for each account, the total moved from the lower-numbered router to the higher-numbered
  * @param units for each account, the sender's own supply in units
@@ -32,13 +32,13 @@
  */
 record SupplyMessage(
         int page,
-        boolean ask,
+        boolean answerWanted,
         boolean known,
         boolean starting,
-        int from,
-        int to,
+        int senderRun,
+        int receiverRun,
         int sequence,
-        int heard,
+        int acknowledged,
         double rate,
         int[] flow,
         int[] units,
@@ -49,7 +49,7 @@
     /** Version of the pages after the first. */
     private static final byte PAGE_VERSION = 4;
 
-    private static final int ASK = 1;
+    private static final int ANSWER_WANTED = 1;
     private static final int KNOWN = 2;
     private static final int STARTING = 4;
     /** Bits of the flags, above which the same byte holds the number of accounts. */
@@ -63,14 +63,14 @@
     /** Size of a popular key with its reads. */
     private static final int KEY_BYTES = 12;
     /** Largest datagram. */
-    private static final int MESSAGE_BYTES = 256;
+    private static final int MAX_MESSAGE_BYTES = 256;
     /**
      * Fetches per second that no origin can bear. A message with a higher R is rejected: a single such figure would
      * make all routers of the ring send whatever they have.
      */
-    private static final double MOST_RATE = 1e6;
+    private static final double MAX_FETCHES_PER_SECOND = 1e6;
     /** The most accounts that fit in a message. */
-    static final int MOST_ACCOUNTS = (MESSAGE_BYTES - HEADER_BYTES) / ACCOUNT_BYTES;
+    static final int MAX_ACCOUNTS = (MAX_MESSAGE_BYTES - HEADER_BYTES) / ACCOUNT_BYTES;
     /** The page that carries popular keys if the accounts fill the first page. */
     private static final int KEYS_PAGE = 1;
 
@@ -83,11 +83,11 @@
      * @param accounts the number of accounts
      * @return the number of accounts on each page
      */
-    static List<Integer> pages(int accounts) {
+    static List<Integer> pageSizes(int accounts) {
         List<Integer> sizes = new ArrayList<>();
-        sizes.add(Math.min(accounts, MOST_ACCOUNTS));
-        for (int left = accounts - MOST_ACCOUNTS; left > 0 || left == 0 && sizes.size() == KEYS_PAGE; ) {
-            int size = Math.min(left, sizes.size() == KEYS_PAGE ? ACCOUNTS_BESIDE_KEYS : MOST_ACCOUNTS);
+        sizes.add(Math.min(accounts, MAX_ACCOUNTS));
+        for (int left = accounts - MAX_ACCOUNTS; left > 0 || left == 0 && sizes.size() == KEYS_PAGE; ) {
+            int size = Math.min(left, sizes.size() == KEYS_PAGE ? ACCOUNTS_BESIDE_KEYS : MAX_ACCOUNTS);
             sizes.add(size);
             left -= size;
         }
@@ -97,8 +97,8 @@
     /**
      * Returns how many popular keys fit on a page with the given number of accounts; 0 on all pages after the second.
      */
-    static int room(int page, int accounts) {
-        return page > KEYS_PAGE ? 0 : (MESSAGE_BYTES - headerBytes(page) - ACCOUNT_BYTES * accounts) / KEY_BYTES;
+    static int keyCapacity(int page, int accounts) {
+        return page > KEYS_PAGE ? 0 : (MAX_MESSAGE_BYTES - headerBytes(page) - ACCOUNT_BYTES * accounts) / KEY_BYTES;
     }
 
     private static int headerBytes(int page) {
@@ -109,13 +109,16 @@
     byte[] encode() {
         ByteBuffer b =
                 ByteBuffer.allocate(headerBytes(page) + ACCOUNT_BYTES * flow.length + KEY_BYTES * popular.size());
-        int flags = (ask ? ASK : 0) | (known ? KNOWN : 0) | (starting ? STARTING : 0) | flow.length << FLAG_BITS;
+        int flags = (answerWanted ? ANSWER_WANTED : 0)
+                | (known ? KNOWN : 0)
+                | (starting ? STARTING : 0)
+                | flow.length << FLAG_BITS;
         b.put(page == 0 ? VERSION : PAGE_VERSION)
                 .put((byte) flags)
-                .putInt(from)
-                .putInt(to)
+                .putInt(senderRun)
+                .putInt(receiverRun)
                 .putInt(sequence)
-                .putInt(heard)
+                .putInt(acknowledged)
                 .putFloat((float) rate);
         if (page > 0) {
             b.putShort((short) page);
@@ -130,24 +133,24 @@
     /**
      * Decodes a message.
      *
-     * @param pages the number of accounts on each page
+     * @param pageSizes the number of accounts on each page
      * @return null if the message is malformed or of another version
      */
-    static SupplyMessage decode(byte[] bytes, List<Integer> pages) {
+    static SupplyMessage decode(byte[] bytes, List<Integer> pageSizes) {
         int page = pageOf(bytes);
-        if (page < 0 || page >= pages.size()) {
+        if (page < 0 || page >= pageSizes.size()) {
             return null;
         }
-        int accounts = pages.get(page);
-        int rest = bytes.length - headerBytes(page) - ACCOUNT_BYTES * accounts;
-        if (rest < 0 || rest % KEY_BYTES != 0 || bytes[1] >> FLAG_BITS != accounts) {
+        int accounts = pageSizes.get(page);
+        int keyBytes = bytes.length - headerBytes(page) - ACCOUNT_BYTES * accounts;
+        if (keyBytes < 0 || keyBytes % KEY_BYTES != 0 || bytes[1] >> FLAG_BITS != accounts) {
             return null;
         }
         ByteBuffer b = ByteBuffer.wrap(bytes, 1, bytes.length - 1);
         int flags = b.get();
         SupplyMessage m = new SupplyMessage(
                 page,
-                (flags & ASK) != 0,
+                (flags & ANSWER_WANTED) != 0,
                 (flags & KNOWN) != 0,
                 (flags & STARTING) != 0,
                 b.getInt(),
@@ -161,21 +164,21 @@
                 new double[accounts],
                 new LinkedHashMap<>());
         b.position(headerBytes(page));
-        boolean sound = m.from != 0 && m.rate > 0 && m.rate <= MOST_RATE;
+        boolean valid = m.senderRun != 0 && m.rate > 0 && m.rate <= MAX_FETCHES_PER_SECOND;
         for (int a = 0; a < accounts; a++) {
             m.flow[a] = b.getInt();
             m.units[a] = b.getInt();
             m.held[a] = b.getInt();
             m.demand[a] = b.getFloat();
-            sound &= m.demand[a] > 0 && Double.isFinite(m.demand[a]);
+            valid &= m.demand[a] > 0 && Double.isFinite(m.demand[a]);
         }
         while (b.hasRemaining()) {
             long key = b.getLong();
             double reads = b.getFloat();
-            sound &= reads >= 0 && Double.isFinite(reads);
+            valid &= reads >= 0 && Double.isFinite(reads);
             m.popular.put(key, reads);
         }
-        return sound ? m : null;
+        return valid ? m : null;
     }
 
     /** Returns the page index of a message; -1 if it is malformed or of another version. */
--- a/src/test/java/slateseam/decision/LedgerTest.java
+++ b/src/test/java/slateseam/decision/LedgerTest.java
@@ -9,27 +9,27 @@
 
 /** Tests both ends of a pair's ledger, message by message. */
 class LedgerTest {
-    private static final int EVEN = Account.WHOLE / 2;
+    private static final int EVEN_SHARE = Account.WHOLE / 2;
     private static final int AMOUNT = 1_000_000;
-    private static final int LOWER_LIFE = 10;
-    private static final int EARLIER_LIFE = 20;
-    private static final int LATER_LIFE = 30;
+    private static final int LOWER_RUN = 10;
+    private static final int PREVIOUS_RUN = 20;
+    private static final int NEXT_RUN = 30;
 
-    private final Account lowerAccount = new Account(40, EVEN);
-    private final Account higherAccount = new Account(40, EVEN);
+    private final Account lowerAccount = new Account(40, EVEN_SHARE);
+    private final Account higherAccount = new Account(40, EVEN_SHARE);
     private final Ledger lower = new Ledger(0, true, List.of(lowerAccount));
     private final Ledger higher = new Ledger(0, false, List.of(higherAccount));
 
     @BeforeEach
     void bothKnowTheLedger() {
-        lower.hear(told(higher, EARLIER_LIFE), LOWER_LIFE);
-        higher.hear(told(lower, LOWER_LIFE), EARLIER_LIFE);
-        lower.hear(told(higher, EARLIER_LIFE), LOWER_LIFE);
+        lower.receive(messageOf(higher, PREVIOUS_RUN), LOWER_RUN);
+        higher.receive(messageOf(lower, LOWER_RUN), PREVIOUS_RUN);
+        lower.receive(messageOf(higher, PREVIOUS_RUN), LOWER_RUN);
         lower.move(0, AMOUNT);
-        higher.hear(told(lower, LOWER_LIFE), EARLIER_LIFE);
-        lower.hear(told(higher, EARLIER_LIFE), LOWER_LIFE);
-        assertThat(higherAccount.units).isEqualTo(EVEN + AMOUNT);
-        assertThat(lowerAccount.units).isEqualTo(EVEN - AMOUNT);
+        higher.receive(messageOf(lower, LOWER_RUN), PREVIOUS_RUN);
+        lower.receive(messageOf(higher, PREVIOUS_RUN), LOWER_RUN);
+        assertThat(higherAccount.units).isEqualTo(EVEN_SHARE + AMOUNT);
+        assertThat(lowerAccount.units).isEqualTo(EVEN_SHARE - AMOUNT);
     }
 
     /**
@@ -40,32 +40,32 @@
      * see docs/incidents/2026-12-03-supply-used-twice.md.
      */
     @Test
-    void whatWasAskedOfAnEarlierLifeIsNotTakenFromTheNext() {
+    void requestToThePreviousRunIsNotGrantedByTheNext() {
         lower.move(0, -AMOUNT / 2);
-        told(lower, LOWER_LIFE); // this message is lost with the previous run
-        Account restarted = new Account(40, EVEN);
-        Ledger later = new Ledger(0, false, List.of(restarted));
-        lower.hear(told(later, LATER_LIFE), LOWER_LIFE);
-        later.hear(told(lower, LOWER_LIFE), LATER_LIFE);
-        assertThat(restarted.units).isEqualTo(EVEN + AMOUNT);
-        lower.hear(told(later, LATER_LIFE), LOWER_LIFE);
-        assertThat(lowerAccount.units).isEqualTo(EVEN - AMOUNT);
+        messageOf(lower, LOWER_RUN); // this message is lost with the previous run
+        Account restartedAccount = new Account(40, EVEN_SHARE);
+        Ledger restartedLedger = new Ledger(0, false, List.of(restartedAccount));
+        lower.receive(messageOf(restartedLedger, NEXT_RUN), LOWER_RUN);
+        restartedLedger.receive(messageOf(lower, LOWER_RUN), NEXT_RUN);
+        assertThat(restartedAccount.units).isEqualTo(EVEN_SHARE + AMOUNT);
+        lower.receive(messageOf(restartedLedger, NEXT_RUN), LOWER_RUN);
+        assertThat(lowerAccount.units).isEqualTo(EVEN_SHARE - AMOUNT);
     }
 
     /** Supply given to the previous run was debited already, and the next run must get it. */
     @Test
-    void whatWasGivenToAnEarlierLifeIsTheNextOnes() {
+    void supplyGivenToThePreviousRunBelongsToTheNext() {
         lower.move(0, AMOUNT);
-        told(lower, LOWER_LIFE);
-        Account restarted = new Account(40, EVEN);
-        Ledger later = new Ledger(0, false, List.of(restarted));
-        lower.hear(told(later, LATER_LIFE), LOWER_LIFE);
-        later.hear(told(lower, LOWER_LIFE), LATER_LIFE);
-        assertThat(restarted.units).isEqualTo(EVEN + 2 * AMOUNT);
-        assertThat(lowerAccount.units).isEqualTo(EVEN - 2 * AMOUNT);
+        messageOf(lower, LOWER_RUN);
+        Account restartedAccount = new Account(40, EVEN_SHARE);
+        Ledger restartedLedger = new Ledger(0, false, List.of(restartedAccount));
+        lower.receive(messageOf(restartedLedger, NEXT_RUN), LOWER_RUN);
+        restartedLedger.receive(messageOf(lower, LOWER_RUN), NEXT_RUN);
+        assertThat(restartedAccount.units).isEqualTo(EVEN_SHARE + 2 * AMOUNT);
+        assertThat(lowerAccount.units).isEqualTo(EVEN_SHARE - 2 * AMOUNT);
     }
 
-    private static SupplyMessage told(Ledger by, int life) {
-        return by.message(true, false, life, 40, Map.of());
+    private static SupplyMessage messageOf(Ledger sender, int run) {
+        return sender.message(true, false, run, 40, Map.of());
     }
 }
--- a/src/test/java/slateseam/decision/ManyTenantsTest.java
+++ b/src/test/java/slateseam/decision/ManyTenantsTest.java
@@ -117,7 +117,7 @@
                 .map(letter -> letter.payload())
                 .filter(bytes -> bytes[0] > FORMER_VERSION)
                 .forEach(bytes -> times.merge(bytes[22] << 8 | bytes[23] & 0xff, 1, Integer::sum));
-        int pages = SupplyMessage.pages(1025).size() - 1;
+        int pages = SupplyMessage.pageSizes(1025).size() - 1;
         assertThat(times).hasSize(pages);
         assertThat(Collections.max(times.values()) - Collections.min(times.values()))
                 .isLessThanOrEqualTo(2);
@@ -126,15 +126,15 @@
 
     @Test
     void whatDoesNotFitIsDividedOverPagesWithRoomForKeys() {
-        assertThat(SupplyMessage.pages(1)).containsExactly(1);
-        assertThat(SupplyMessage.pages(13)).containsExactly(13);
-        assertThat(SupplyMessage.pages(14)).containsExactly(14, 0);
-        assertThat(SupplyMessage.pages(17)).containsExactly(14, 3);
-        assertThat(SupplyMessage.pages(39)).containsExactly(14, 10, 14, 1);
-        assertThat(SupplyMessage.room(0, 14)).isZero();
-        assertThat(SupplyMessage.room(1, 10)).isEqualTo(6);
-        assertThat(SupplyMessage.room(2, 1)).isZero();
-        List<Integer> pages = SupplyMessage.pages(39);
+        assertThat(SupplyMessage.pageSizes(1)).containsExactly(1);
+        assertThat(SupplyMessage.pageSizes(13)).containsExactly(13);
+        assertThat(SupplyMessage.pageSizes(14)).containsExactly(14, 0);
+        assertThat(SupplyMessage.pageSizes(17)).containsExactly(14, 3);
+        assertThat(SupplyMessage.pageSizes(39)).containsExactly(14, 10, 14, 1);
+        assertThat(SupplyMessage.keyCapacity(0, 14)).isZero();
+        assertThat(SupplyMessage.keyCapacity(1, 10)).isEqualTo(6);
+        assertThat(SupplyMessage.keyCapacity(2, 1)).isZero();
+        List<Integer> pages = SupplyMessage.pageSizes(39);
         for (int page = 0; page < pages.size(); page++) {
             int size = pages.get(page);
             double[] demand = new double[size];
--- a/src/test/java/slateseam/decision/SupplyLinksTest.java
+++ b/src/test/java/slateseam/decision/SupplyLinksTest.java
@@ -95,12 +95,12 @@
     void remindersAreReadAndGarbledOnesAreNot() {
         byte[] bytes = new SupplyReminder(7, new int[] {3, -4}).encode();
         SupplyReminder back = SupplyReminder.decode(bytes, 2);
-        assertThat(back.to()).isEqualTo(7);
+        assertThat(back.receiverRun()).isEqualTo(7);
         assertThat(back.units()).containsExactly(3, -4);
         assertThat(SupplyReminder.decode(bytes, 1)).isNull();
         assertThat(SupplyReminder.decode(Arrays.copyOf(bytes, bytes.length - 1), 2))
                 .isNull();
-        assertThat(SupplyReminder.isOne(new byte[0])).isFalse();
+        assertThat(SupplyReminder.isReminder(new byte[0])).isFalse();
         // A build without links reads a reminder as a message of another version and ignores it.
         assertThat(SupplyMessage.decode(bytes, List.of(2))).isNull();
     }
--- a/src/test/java/slateseam/decision/SupplyTest.java
+++ b/src/test/java/slateseam/decision/SupplyTest.java
@@ -92,7 +92,7 @@
     void aRouterWithoutItsShareBlamesNeitherTheOriginNorTheTenants() {
         World w = new World(World.settings(0, 2, false, List.of(new Tenant("t", 2, 1))), 3);
         w.fleet(10);
-        int to = (int) field(w.brain, "budgets", "life");
+        int receiverRun = (int) field(w.brain, "budgets", "runNumber");
         int[] all = {Account.WHOLE / 2, Account.WHOLE / 2};
         w.on(new PeerMessage(
                 1,
@@ -102,7 +102,7 @@
                                 true,
                                 false,
                                 5,
-                                to,
+                                receiverRun,
                                 1,
                                 0,
                                 40,
@@ -134,7 +134,7 @@
 
     @Test
     void messagesFitAndGarbledOnesAreIgnored() {
-        int most = SupplyMessage.MOST_ACCOUNTS;
+        int most = SupplyMessage.MAX_ACCOUNTS;
         double[] demand = new double[most];
         Arrays.fill(demand, 2);
         byte[] bytes = new SupplyMessage(
@@ -154,11 +154,11 @@
                         Map.of())
                 .encode();
         assertTrue(bytes.length <= 256);
-        SupplyMessage back = SupplyMessage.decode(bytes, SupplyMessage.pages(most));
+        SupplyMessage back = SupplyMessage.decode(bytes, SupplyMessage.pageSizes(most));
         assertEquals(7, back.sequence());
         assertEquals(2, back.demand()[most - 1]);
-        assertNull(SupplyMessage.decode(bytes, SupplyMessage.pages(most - 1)));
-        assertNull(SupplyMessage.decode(Arrays.copyOf(bytes, bytes.length - 1), SupplyMessage.pages(most)));
+        assertNull(SupplyMessage.decode(bytes, SupplyMessage.pageSizes(most - 1)));
+        assertNull(SupplyMessage.decode(Arrays.copyOf(bytes, bytes.length - 1), SupplyMessage.pageSizes(most)));
         for (double rate : new double[] {0, -1, Double.NaN, Double.POSITIVE_INFINITY, 1e9}) {
             byte[] absurd = new SupplyMessage(
                             0,
@@ -176,10 +176,10 @@
                             demand,
                             Map.of())
                     .encode();
-            assertNull(SupplyMessage.decode(absurd, SupplyMessage.pages(most)), "a rate of " + rate);
+            assertNull(SupplyMessage.decode(absurd, SupplyMessage.pageSizes(most)), "a rate of " + rate);
         }
         bytes[0]++;
-        assertNull(SupplyMessage.decode(bytes, SupplyMessage.pages(most)), "another version");
+        assertNull(SupplyMessage.decode(bytes, SupplyMessage.pageSizes(most)), "another version");
     }
 
     @Test
@@ -190,7 +190,7 @@
                 keys.read(key);
             }
         }
-        int room = SupplyMessage.room(0, 3);
+        int room = SupplyMessage.keyCapacity(0, 3);
         byte[] bytes = new SupplyMessage(
                         0,
                         true,
@@ -209,7 +209,7 @@
                 .encode();
         assertTrue(bytes.length <= 256);
         Map<Long, Double> told =
-                SupplyMessage.decode(bytes, SupplyMessage.pages(3)).popular();
+                SupplyMessage.decode(bytes, SupplyMessage.pageSizes(3)).popular();
         assertEquals(room, told.size());
         assertEquals(40, told.get(40L));
         assertEquals(821, told.get(0L));
--- a/src/test/java/slateseam/simulate/SupplyBugs.java
+++ b/src/test/java/slateseam/simulate/SupplyBugs.java
@@ -15,7 +15,11 @@
                         "Ledger",
                         "            own.units += moved;\n            flow[a] += moved;\n",
                         "            own.units += moved;\n"),
-                bug("a lost acknowledgement gives the supply back", "Ledger", "m.heard() == sent) {", "true) {"),
+                bug(
+                        "a lost acknowledgement gives the supply back",
+                        "Ledger",
+                        "m.acknowledged() == lastSent) {",
+                        "true) {"),
                 bug(
                         "what is asked back is used before it is given",
                         "Ledger",
@@ -24,13 +28,17 @@
                 bug(
                         "a restart forgets what its partners' books say",
                         "Ledger",
-                        "            accounts.get(a).units += lower ? -theirs[a] : theirs[a];\n",
+                        "            accounts.get(a).units += lower ? -peerFlow[a] : peerFlow[a];\n",
                         ""),
-                bug("a restart behind a cut uses an even share", "EarlierSupply", "hasPartners ? -base[a] : 0;", "0;"),
+                bug(
+                        "a restart behind a cut uses an even share",
+                        "EarlierSupply",
+                        "hasPartners ? -knownUnits[a] : 0;",
+                        "0;"),
                 bug(
                         "a message of an earlier life is believed",
                         "Ledger",
-                        "return isAnew(m) || m.from() == life && m.sequence() - heard > 0;",
+                        "return isFromNewRun(m) || m.senderRun() == peerRunNumber && m.sequence() - lastReceived > 0;",
                         "return true;"));
     }
 
