--- a/src/test/java/slateseam/decision/ManyTenantsTest.java
+++ b/src/test/java/slateseam/decision/ManyTenantsTest.java
@@ -17,7 +17,7 @@
 /** Tests that with any number of tenants each has a share, which moves to the routers where its requests arrive. */
 class ManyTenantsTest {
     /** The highest version number of messages before pages were introduced. */
-    private static final int FORMER_VERSION = 3;
+    private static final int LAST_VERSION_WITHOUT_PAGES = 3;
 
     private static List<Tenant> tenants(int number) {
         return IntStream.range(0, number)
@@ -26,9 +26,9 @@
     }
 
     /** Runs four routers; the first gets 100 requests per second of one tenant, whose share of all four is 40. */
-    private static Ring busy(int number, int tenant, int seconds) {
+    private static Ring ringWithRequests(int number, int tenant, int seconds) {
         Ring ring = new Ring(4, 5, 0.05, 0.05, tenants(number));
-        ring.asks = tenant;
+        ring.requestingTenant = tenant;
         ring.pass(seconds * 1_000 * MS, 1, 0, 0, 0);
         return ring;
     }
@@ -36,15 +36,15 @@
     @ParameterizedTest
     @ValueSource(ints = {13, 14, 16, 24, 25, 1024})
     void theLastTenantsShareMovesToWhereItsRequestsEnter(int number) {
-        Ring ring = busy(number, number - 1, 60);
+        Ring ring = ringWithRequests(number, number - 1, 60);
         assertThat(ring.total(number)).as("units of all routers").isBetween((long) (0.9 * Account.WHOLE), (long)
                 Account.WHOLE);
         assertThat(ring.held(0, number)).as("units where it enters").isGreaterThan(Account.WHOLE / 2);
-        assertThat(ring.everything).allMatch(letter -> letter.payload().length <= 256);
+        assertThat(ring.sentMessages).allMatch(message -> message.payload().length <= 256);
     }
 
     @Test
-    void aTenantBeyondItsShareIsSeenToBeWhateverItsPlace() {
+    void requestsBeyondAShareAreDetectedForEveryTenant() {
         for (int tenant : new int[] {0, 12, 13, 500, 1023}) {
             World w = new World(World.settings(0, 1, false, tenants(1024)), 3);
             w.fleet(2);
@@ -63,8 +63,8 @@
 
     /** A router that starts uses an even share only until its neighbour has reported the totals of the page. */
     @Test
-    void oneThatStartsAnewTakesOverTheSharesOfAllPages() {
-        Ring ring = busy(1024, 1023, 60);
+    void restartedRouterTakesOverTheSharesOfAllPages() {
+        Ring ring = ringWithRequests(1024, 1023, 60);
         int before = ring.held(0, 1024);
         ring.start(0);
         ring.pass(8_000 * MS, 1, 0, 0, 0);
@@ -73,8 +73,8 @@
     }
 
     @Test
-    void theSharesOfOneThatIsGoneAreInheritedAndReturnWithIt() {
-        Ring ring = busy(100, 99, 20);
+    void sharesOfAVanishedRouterAreInheritedAndReturnWithIt() {
+        Ring ring = ringWithRequests(100, 99, 20);
         ring.routers[0] = null;
         ring.pass(3_000 * MS, 0, 1, 0, 0);
         assertThat(ring.total(100)).as("inherited").isBetween((long) (0.85 * Account.WHOLE), (long)
@@ -89,13 +89,13 @@
      * A router of a build without pages ignores the pages after the first; the accounts of the first page still move.
      */
     @Test
-    void aRouterThatKnowsNoPagesGoesOnWithTheFirst() {
+    void routerOfABuildWithoutPagesUsesTheFirst() {
         Ring ring = new Ring(4, 8, 0, 0, tenants(64));
         double[] misses = {1, 0, 0, 0};
         for (int i = 0; i < 1500; i++) {
             ring.pass(10 * MS, misses);
-            ring.post.removeIf(
-                    letter -> letter.payload()[0] > FORMER_VERSION && (letter.from() == 1 || letter.to() == 1));
+            ring.inTransit.removeIf(message ->
+                    message.payload()[0] > LAST_VERSION_WITHOUT_PAGES && (message.from() == 1 || message.to() == 1));
         }
         assertThat(ring.held(0, 0)).as("the origin's budget").isGreaterThan(Account.WHOLE / 2);
         assertThat(ring.held(0, 1)).as("the first tenant's share").isGreaterThan(Account.WHOLE / 2);
@@ -107,25 +107,25 @@
 
     /** More tenants must not cause more messages than the number of requests justifies. */
     @Test
-    void furtherPagesAreToldInTurnAndNotMoreOftenThanRequestsBear() {
+    void furtherPagesAreSentInTurnAndNoMoreOftenThanRequestsJustify() {
         Ring ring = new Ring(2, 9, 0, 0, tenants(1024));
         ring.pass(20_000 * MS, 0.2, 0.2); // 20 a second at each
-        ring.everything.clear();
+        ring.sentMessages.clear();
         ring.pass(20_000 * MS, 0.2, 0.2);
         Map<Integer, Integer> times = new HashMap<>();
-        ring.everything.stream()
-                .map(letter -> letter.payload())
-                .filter(bytes -> bytes[0] > FORMER_VERSION)
+        ring.sentMessages.stream()
+                .map(message -> message.payload())
+                .filter(bytes -> bytes[0] > LAST_VERSION_WITHOUT_PAGES)
                 .forEach(bytes -> times.merge(bytes[22] << 8 | bytes[23] & 0xff, 1, Integer::sum));
         int pages = SupplyMessage.pageSizes(1025).size() - 1;
         assertThat(times).hasSize(pages);
         assertThat(Collections.max(times.values()) - Collections.min(times.values()))
                 .isLessThanOrEqualTo(2);
-        assertThat(ring.everything.size()).as("of some 800 requests").isLessThan(400);
+        assertThat(ring.sentMessages.size()).as("of some 800 requests").isLessThan(400);
     }
 
     @Test
-    void whatDoesNotFitIsDividedOverPagesWithRoomForKeys() {
+    void accountsAreDividedOverPagesWithRoomForKeys() {
         assertThat(SupplyMessage.pageSizes(1)).containsExactly(1);
         assertThat(SupplyMessage.pageSizes(13)).containsExactly(13);
         assertThat(SupplyMessage.pageSizes(14)).containsExactly(14, 0);
@@ -168,7 +168,7 @@
 
     /** If the accounts fill the first page, the second carries the popular keys. */
     @Test
-    void popularKeysAreToldHoweverManyTenantsThereAre() {
+    void popularKeysAreSentWhateverTheNumberOfTenants() {
         Ring ring = new Ring(2, 10, 0, 0, tenants(13));
         for (int i = 0; i < 400; i++) {
             ring.pass(10 * MS, 0, 0);
--- a/src/test/java/slateseam/decision/OriginRateTest.java
+++ b/src/test/java/slateseam/decision/OriginRateTest.java
@@ -13,13 +13,13 @@
 
 /** Tests how R, the learned rate of origin fetches, develops after a router has started. */
 class OriginRateTest {
-    private static final long QUICK = 15 * MS;
-    private static final long USUAL = 120 * MS;
+    private static final long QUICK_FETCH_NANOS = 15 * MS;
+    private static final long USUAL_FETCH_NANOS = 120 * MS;
 
-    private record Out(Send send, long due, Outcome outcome, long took) {}
+    private record PendingAttempt(Send send, long due, Outcome outcome, long took) {}
 
     private final World w = World.single();
-    private final List<Out> out = new ArrayList<>();
+    private final List<PendingAttempt> pending = new ArrayList<>();
     private int served;
     private long key = 1_000;
 
@@ -37,9 +37,9 @@
         double due = 0;
         for (long end = w.now + nanos; w.now < end; ) {
             List<Action> actions = new ArrayList<>(w.pass(10 * MS));
-            for (Out o : List.copyOf(out)) {
+            for (PendingAttempt o : List.copyOf(pending)) {
                 if (o.due() <= w.now) {
-                    out.remove(o);
+                    pending.remove(o);
                     served += o.outcome() == Outcome.OK ? 1 : 0;
                     actions.addAll(w.end(o.send(), o.outcome(), 0, o.took()));
                 }
@@ -49,7 +49,7 @@
             }
             for (Action a : actions) {
                 if (a instanceof Send s) {
-                    out.add(new Out(s, w.now + took, outcome, took));
+                    pending.add(new PendingAttempt(s, w.now + took, outcome, took));
                 }
             }
         }
@@ -61,11 +61,11 @@
      */
     @Test
     void quickFirstFetchesDoNotMakeTheUsualOnesAnOverload() {
-        pass(150 * MS, 40, Outcome.OK, QUICK);
+        pass(150 * MS, 40, Outcome.OK, QUICK_FETCH_NANOS);
         double first = rate();
-        pass(3_000 * MS, 80, Outcome.OK, USUAL);
+        pass(3_000 * MS, 80, Outcome.OK, USUAL_FETCH_NANOS);
         assertThat(rate()).as("R after the usual fetches").isGreaterThanOrEqualTo(first);
-        pass(5_000 * MS, 80, Outcome.OK, USUAL);
+        pass(5_000 * MS, 80, Outcome.OK, USUAL_FETCH_NANOS);
         assertThat(rate()).as("R where all is usual and supply binds").isGreaterThan(1.2 * first);
     }
 
@@ -73,7 +73,7 @@
      * Just after a start nothing has been delivered yet, which says nothing about the rate that the origin can bear.
      */
     @Test
-    void aCutJustAfterAStartGoesNotByWhatCouldNotBeDeliveredYet() {
+    void cutJustAfterAStartIgnoresTheMissingDeliveries() {
         double first = rate();
         pass(600 * MS, 80, Outcome.TIMEOUT, 50 * MS);
         assertThat(served).isZero();
@@ -85,11 +85,11 @@
      * after the overload has ended, and detect the next overload.
      */
     @Test
-    void oneThatStartsInAnOverloadNoticesTheNext() {
-        pass(3_000 * MS, 80, Outcome.OK, 4 * USUAL);
-        pass(6_000 * MS, 80, Outcome.OK, USUAL);
+    void routerStartedDuringAnOverloadDetectsTheNext() {
+        pass(3_000 * MS, 80, Outcome.OK, 4 * USUAL_FETCH_NANOS);
+        pass(6_000 * MS, 80, Outcome.OK, USUAL_FETCH_NANOS);
         double calm = rate();
-        pass(4_000 * MS, 80, Outcome.OK, 4 * USUAL);
+        pass(4_000 * MS, 80, Outcome.OK, 4 * USUAL_FETCH_NANOS);
         assertThat(rate()).as("R after the second overload").isLessThan(0.9 * calm);
     }
 
@@ -112,7 +112,7 @@
             for (Action action : actions) {
                 if (action instanceof Send send) {
                     int attempt = attempts.merge(send.request(), 1, Integer::sum) - 1;
-                    one.end(send, Outcome.FULL, attempt, USUAL);
+                    one.end(send, Outcome.FULL, attempt, USUAL_FETCH_NANOS);
                 }
             }
         }
--- a/src/test/java/slateseam/decision/Ring.java
+++ b/src/test/java/slateseam/decision/Ring.java
@@ -9,50 +9,50 @@
 
 /** A simulated ring of routers whose messages may be lost, duplicated and reordered; one seed determines all chance. */
 final class Ring {
-    record Letter(int from, int to, byte[] payload, long due) {}
+    record Datagram(int from, int to, byte[] payload, long due) {}
 
     final World[] routers;
     final Random random;
     /** Messages on their way. */
-    final List<Letter> post = new ArrayList<>();
+    final List<Datagram> inTransit = new ArrayList<>();
     /** All messages that were ever sent. */
-    final List<Letter> everything = new ArrayList<>();
+    final List<Datagram> sentMessages = new ArrayList<>();
     /** How far each router's clock is behind, in nanoseconds. */
-    final long[] behind;
+    final long[] clockLagNanos;
     /** Routers that are suspended: they receive messages that arrive meanwhile when they resume. */
     final boolean[] paused;
     /** Routers whose messages are all lost. */
-    final boolean[] mute;
+    final boolean[] silenced;
 
     /** Probability that a message is duplicated. */
-    final double repeat;
+    final double duplication;
     /** Probability that a message is lost. */
     double loss;
 
     long now = 1_000_000 * MS;
-    /** The largest total of the first account that all routers held at the end of a step, since {@link #watch}. */
-    long most;
+    /** The largest total of the first account that all routers held at the end of a step, since {@link #resetExtremes}. */
+    long maxTotal;
 
     /** The smallest such total. */
-    long least;
+    long minTotal;
 
     final List<Tenant> tenants;
     /** Index of the tenant that sends the requests. */
-    int asks;
+    int requestingTenant;
 
-    Ring(int n, long seed, double loss, double repeat) {
-        this(n, seed, loss, repeat, List.of(new Tenant("t", 50, 1)));
+    Ring(int n, long seed, double loss, double duplication) {
+        this(n, seed, loss, duplication, List.of(new Tenant("t", 50, 1)));
     }
 
-    Ring(int n, long seed, double loss, double repeat, List<Tenant> tenants) {
+    Ring(int n, long seed, double loss, double duplication, List<Tenant> tenants) {
         this.tenants = tenants;
         random = new Random(seed);
         this.loss = loss;
-        this.repeat = repeat;
+        this.duplication = duplication;
         routers = new World[n];
-        behind = new long[n];
+        clockLagNanos = new long[n];
         paused = new boolean[n];
-        mute = new boolean[n];
+        silenced = new boolean[n];
         for (int i = 0; i < n; i++) {
             start(i);
         }
@@ -60,15 +60,17 @@
 
     /** Starts a router, or restarts it without any of its state. */
     void start(int i) {
-        World w = new World(World.settings(i, routers.length, false, tenants), random.nextLong(), now - behind[i]);
+        World w =
+                new World(World.settings(i, routers.length, false, tenants), random.nextLong(), now - clockLagNanos[i]);
         w.fleet(3);
         routers[i] = w;
         collect(i);
     }
 
     /** Returns a second process of a router, on standby until {@link #takeOver}; no messages reach it. */
-    World heir(int i) {
-        World w = new World(World.settings(i, routers.length, false, tenants), random.nextLong(), now - behind[i]);
+    World startStandby(int i) {
+        World w =
+                new World(World.settings(i, routers.length, false, tenants), random.nextLong(), now - clockLagNanos[i]);
         w.on(new Rests(true));
         w.fleet(3);
         w.actions.clear();
@@ -76,20 +78,20 @@
     }
 
     /** Replaces a router's process by its second one; messages of the old process are dropped from now on. */
-    void takeOver(int i, World heir) {
+    void takeOver(int i, World standby) {
         routers[i].on(new Rests(true));
-        routers[i] = heir;
-        heir.now = now - behind[i];
-        heir.on(new Rests(false));
+        routers[i] = standby;
+        standby.now = now - clockLagNanos[i];
+        standby.on(new Rests(false));
         collect(i);
     }
 
     private void collect(int i) {
         for (Action a : routers[i].actions) {
             if (a instanceof TellPeer t) {
-                for (int copies = random.nextDouble() < repeat ? 2 : 1; copies > 0; copies--) {
-                    post.add(new Letter(i, t.to(), t.payload(), now + (1 + random.nextInt(60)) * MS));
-                    everything.add(post.get(post.size() - 1));
+                for (int copies = random.nextDouble() < duplication ? 2 : 1; copies > 0; copies--) {
+                    inTransit.add(new Datagram(i, t.to(), t.payload(), now + (1 + random.nextInt(60)) * MS));
+                    sentMessages.add(inTransit.get(inTransit.size() - 1));
                 }
             }
         }
@@ -105,9 +107,9 @@
                     continue;
                 }
                 World w = routers[i];
-                w.now = now - behind[i];
+                w.now = now - clockLagNanos[i];
                 for (double m = misses[i]; m > random.nextDouble(); m--) {
-                    long r = w.request(random.nextLong() | 1, 0, asks);
+                    long r = w.request(random.nextLong() | 1, 0, requestingTenant);
                     Send s = w.sent(r);
                     if (s != null && s.member() != World.ORIGIN) {
                         w.end(s, Outcome.MISS, 0, MS);
@@ -117,17 +119,18 @@
                 collect(i);
             }
             deliver();
-            most = Math.max(most, total(0));
-            least = Math.min(least, total(0));
+            maxTotal = Math.max(maxTotal, total(0));
+            minTotal = Math.min(minTotal, total(0));
         }
     }
 
     private void deliver() {
-        List<Letter> arrived =
-                post.stream().filter(l -> l.due() <= now && !paused[l.to()]).toList();
-        post.removeAll(arrived);
-        for (Letter l : arrived) {
-            if (routers[l.to()] != null && random.nextDouble() >= loss && !mute[l.from()]) {
+        List<Datagram> arrived = inTransit.stream()
+                .filter(l -> l.due() <= now && !paused[l.to()])
+                .toList();
+        inTransit.removeAll(arrived);
+        for (Datagram l : arrived) {
+            if (routers[l.to()] != null && random.nextDouble() >= loss && !silenced[l.from()]) {
                 routers[l.to()].on(new PeerMessage(l.from(), l.payload()));
                 collect(l.to());
             }
@@ -135,8 +138,8 @@
     }
 
     /** Resets the largest and the smallest total to the present one. */
-    void watch() {
-        most = least = total(0);
+    void resetExtremes() {
+        maxTotal = minTotal = total(0);
     }
 
     /** Returns the units of an account that a router may use; 0 while it is away or waits for its neighbours. */
--- a/src/test/java/slateseam/decision/SupplyLinksTest.java
+++ b/src/test/java/slateseam/decision/SupplyLinksTest.java
@@ -35,16 +35,16 @@
         assertThat(SupplyLinks.OFF.partners(0, 2_000)).isEmpty();
     }
 
-    private static List<TellPeer> told(SupplyLinks links, PeerMessage heard) {
+    private static List<TellPeer> messagesSent(SupplyLinks links, PeerMessage received) {
         Brain brain = new Brain(World.settings(0, 16, false, List.of()), 1, links);
         List<Action> actions = new ArrayList<>();
         long now = 1_000_000 * MS;
         brain.handle(now, new Started(), actions::add);
         actions.clear();
-        if (heard != null) {
-            brain.handle(now, heard, actions::add);
+        if (received != null) {
+            brain.handle(now, received, actions::add);
         }
-        for (int i = 0; heard == null && i < 2_000; i++) {
+        for (int i = 0; received == null && i < 2_000; i++) {
             now += 10 * MS;
             brain.handle(now, new TimerFired(1), actions::add);
         }
@@ -54,7 +54,7 @@
                 .toList();
     }
 
-    private static PeerMessage ask(int from) {
+    private static PeerMessage request(int from) {
         int[] none = new int[1];
         return new PeerMessage(
                 from,
@@ -63,11 +63,11 @@
     }
 
     @Test
-    void onlyWhoHasLinksAnswersAPartner() {
-        assertThat(told(ON, ask(4))).hasSize(1).allMatch(tell -> tell.to() == 4);
-        assertThat(told(ON, ask(5))).isEmpty();
-        assertThat(told(SupplyLinks.OFF, ask(4))).isEmpty();
-        assertThat(told(SupplyLinks.OFF, ask(1))).hasSize(1);
+    void onlyARouterWithLinksAnswersAPartner() {
+        assertThat(messagesSent(ON, request(4))).hasSize(1).allMatch(message -> message.to() == 4);
+        assertThat(messagesSent(ON, request(5))).isEmpty();
+        assertThat(messagesSent(SupplyLinks.OFF, request(4))).isEmpty();
+        assertThat(messagesSent(SupplyLinks.OFF, request(1))).hasSize(1);
     }
 
     /**
@@ -75,24 +75,24 @@
      * routers.
      */
     @Test
-    void whoNeverAnswersIsAskedSeldom() {
-        List<TellPeer> told = told(ON, null);
+    void partnerThatNeverAnswersIsAskedRarely() {
+        List<TellPeer> messagesSent = messagesSent(ON, null);
         // A message every 50 ms during the 0.25 s of its start, while the router waits for answers; then one every 4 s
         // of the 20 s.
-        assertThat(told.stream().filter(tell -> tell.to() == 4)).hasSizeBetween(5, 12);
-        assertThat(told(SupplyLinks.OFF, null)).allMatch(tell -> tell.to() == 1 || tell.to() == 15);
+        assertThat(messagesSent.stream().filter(message -> message.to() == 4)).hasSizeBetween(5, 12);
+        assertThat(messagesSent(SupplyLinks.OFF, null)).allMatch(message -> message.to() == 1 || message.to() == 15);
     }
 
     @Test
-    void partnersAreToldNoKeys() {
-        for (TellPeer tell : told(ON, ask(4))) {
-            assertThat(SupplyMessage.decode(tell.payload(), List.of(1)).popular())
+    void messagesToPartnersCarryNoKeys() {
+        for (TellPeer message : messagesSent(ON, request(4))) {
+            assertThat(SupplyMessage.decode(message.payload(), List.of(1)).popular())
                     .isEmpty();
         }
     }
 
     @Test
-    void remindersAreReadAndGarbledOnesAreNot() {
+    void remindersAreDecodedAndMalformedOnesRejected() {
         byte[] bytes = new SupplyReminder(7, new int[] {3, -4}).encode();
         SupplyReminder back = SupplyReminder.decode(bytes, 2);
         assertThat(back.receiverRun()).isEqualTo(7);
--- a/src/test/java/slateseam/decision/SupplyTest.java
+++ b/src/test/java/slateseam/decision/SupplyTest.java
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void messagesFitAndGarbledOnesAreIgnored() {
+    void messagesFitAndMalformedOnesAreIgnored() {
         int most = SupplyMessage.MAX_ACCOUNTS;
         double[] demand = new double[most];
         Arrays.fill(demand, 2);
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void popularKeysAreToldAsFarAsThereIsRoom() {
+    void popularKeysAreSentAsFarAsThereIsRoom() {
         KeyCounts keys = new KeyCounts();
         for (long key = 1; key <= 40; key++) {
             for (int i = 0; i < key; i++) {
