--- a/src/main/java/slateseam/decision/Neighbour.java
+++ b/src/main/java/slateseam/decision/Neighbour.java
@@ -54,7 +54,7 @@
     private final List<Account> accounts;
     /** The ledgers, one for each page of the messages. */
     private final List<Ledger> ledgers = new ArrayList<>();
-    /** The page after the first that was asked for last. */
+    /** The page after the first that was requested last. */
     private int lastFurtherPage;
     /** Whether this router now uses the other's supply. */
     private boolean inherits;
@@ -113,7 +113,7 @@
      * Processes a message of the other router.
      *
      * @param runNumber number of the present run of this router
-     * @return false if the message is a duplicate, out of order or from an earlier run; then nothing is changed
+     * @return false if the message is a duplicate, out of order or from a previous run; then nothing is changed
      */
     boolean receive(SupplyMessage m, int runNumber, long now) {
         Ledger ledger = ledgers.get(m.page());
--- a/src/main/java/slateseam/decision/OriginRate.java
+++ b/src/main/java/slateseam/decision/OriginRate.java
@@ -13,7 +13,7 @@
     /** Growth of R in an interval, as a fraction of R, for each second since the last cut. */
     private static final double GROWTH_PER_SECOND = 0.016;
 
-    /** The growth is never less than so many seconds after a cut. */
+    /** Lower bound of the seconds since the last cut that count for the growth of R. */
     private static final double MIN_GROWTH_SECONDS = 2.5;
     /** After an overload R is cut to this fraction of what the origin was last seen to deliver. */
     private static final double CUT_FACTOR = 0.85;
@@ -27,7 +27,7 @@
     /** Weight of the last interval in the rate of deliveries; it is small because small counts are noisy. */
     private static final double DELIVERED_WEIGHT = 0.4;
 
-    /** Initial time of the last cut, relative to the clock's 0: no cut yet. */
+    /** Time of the last cut while there was none: an hour before the clock's 0, so that nothing waits for it. */
     private static final long NEVER_NANOS = -3600 * Timing.SECOND;
 
     final FetchTimes fetchTimes = new FetchTimes();
--- a/src/main/java/slateseam/decision/SharedBudgets.java
+++ b/src/main/java/slateseam/decision/SharedBudgets.java
@@ -23,8 +23,8 @@
      */
     private static final int SILENT_PAUSES_OF_DEAD = 4;
     /**
-     * Fraction of the fill-ratio gap that one exchange with a ring neighbour moves: 1/(2d) as in the paper
-     * that the exchange follows, with d = 2 neighbours; here scaled by demand.
+     * Fraction of the fill-ratio gap that one exchange with a ring neighbour moves: 1/(2d) as in the paper that
+     * the exchange follows, with d = 2 neighbours; here scaled by demand.
      */
     private static final double RING_TRANSFER_FRACTION = 0.25;
     /** Initial value of R, in fetches per second for each router; R is learned from then on. */
@@ -78,7 +78,7 @@
     private boolean onStandby;
     /** Number of this run of the router, from its start time in milliseconds; never 0, which means "unknown". */
     private int runNumber;
-    /** Intervals since the first request of this run. */
+    /** Measuring intervals since the first request of this run, including the one in which it arrived. */
     private int intervalsWithRequests;
 
     private long startedAt;
@@ -279,8 +279,8 @@
     }
 
     /**
-     * Asks for the next page whose ledger is unknown. A router that has just started so takes over all pages without
-     * waiting for their turn: the answer for one page triggers the request for the next.
+     * Asks for the next page whose ledger is unknown. In this way a router that has just started takes over all pages
+     * without waiting for their turn: the answer for one page triggers the request for the next.
      */
     private void requestUnknownPage(Neighbour neighbour) {
         int page = neighbour.unknownPage();
@@ -289,7 +289,7 @@
         }
     }
 
-    /** Merges R and the popular keys of a message that is news, and moves supply by its figures. */
+    /** Merges R and the popular keys of a new message, and moves supply by the figures in it. */
     private void applyMessage(Neighbour from, SupplyMessage message, boolean wasKnown) {
         // Each router sees only few fetches, so neighbours average their R; a router that has just started adopts R.
         double weight = from.isRingNeighbour ? RING_RATE_WEIGHT : links.rateWeight(partners.size());
@@ -341,7 +341,7 @@
         lastTick = now;
     }
 
-    /** Returns whether the present measuring interval is over. */
+    /** Returns whether the current measuring interval is over. */
     boolean intervalIsOver() {
         return context.now() >= nextInterval;
     }
--- a/src/main/java/slateseam/decision/SupplyMessage.java
+++ b/src/main/java/slateseam/decision/SupplyMessage.java
@@ -8,7 +8,7 @@
 
 /**
  * A message between two routers that exchange supply, with its encoding. The runs of a router are numbered by their
- * start times, so that a message of an earlier run can be told from one of the present run; the numbers wrap around
+ * start times, so that a message of a previous run can be told from one of the present run; the numbers wrap around
  * and are compared by their difference.
  *
  * <p>A datagram holds few accounts, so the accounts are divided over pages, each of which is a message of its own.
