--- a/src/main/java/slateseam/decision/Ledger.java
+++ b/src/main/java/slateseam/decision/Ledger.java
@@ -5,81 +5,90 @@
 import java.util.stream.IntStream;
 
 /**
- * What this router and one ring neighbour have moved between them of the accounts on one page of their messages: one total for each
- * account, held by both ends. Each page numbers its messages for itself, as pages are told at different times.
+ * One end of the record of supply that this router and a neighbour have moved between them, for the accounts on one
+ * page of their messages: one running total for each account, held by both ends. Each page has its own sequence
+ * numbers, as pages are sent at different times. The {@link Neighbour} class describes the protocol.
  */
 final class Ledger {
     private final int page;
-    /** Whether this router has the lower number: it alone decides what moves. */
+    /** Whether this router has the lower number of the two. Only the lower end initiates transfers. */
     private final boolean lower;
 
     private final List<Account> accounts;
-    /** Whether this end holds the ledger; one that has just started does not. */
+    /** Whether this end knows the totals; a router that has just started does not. */
     private boolean known;
 
     private boolean answered;
     private boolean mayMove;
-    private boolean told;
-    /** Whether what it told last is what its books said, and not what a life that has just started makes of them. */
-    private boolean toldByBooks;
-
-    private int life;
-    private int sent;
-    private int heard;
-    /** All that went from the lower to the higher: as this end tells it; as the other end was last seen to have it. */
-    private final int[] flow;
+    /** Whether the other end has reported its units at all. */
+    private boolean hasReport;
+    /** Whether the last report came from an end that knew its totals and its demand, and not from one just started. */
+    private boolean reportIsReliable;
 
-    private final int[] settled;
-    private int[] theirFlow;
-    private int[] theirUnits;
-    private int[] loan;
+    /** Number of the other router's run that was heard last; 0 if none was. */
+    private int peerRunNumber;
+    /** Sequence number of the last message sent. */
+    private int lastSent;
+    /** Sequence number of the last message received. */
+    private int lastReceived;
+    /** For each account, the total moved from the lower to the higher end, as this end reports it. */
+    private final int[] flow;
+    /** The same total as the other end was last seen to have it. */
+    private final int[] confirmedFlow;
+    /** The total that came with {@link #reportedUnits}. */
+    private int[] reportedFlow;
+    /** The other router's own units for each account, as it reported them last. */
+    private int[] reportedUnits;
+    /** The other router's units that this router uses while the other is away; null if none. */
+    private int[] inheritedUnits;
 
     Ledger(int page, boolean lower, List<Account> accounts) {
         this.page = page;
         this.lower = lower;
         this.accounts = accounts;
         flow = new int[accounts.size()];
-        settled = flow.clone();
-        theirFlow = flow.clone();
-        theirUnits = accounts.stream().mapToInt(a -> a.units).toArray();
+        confirmedFlow = flow.clone();
+        reportedFlow = flow.clone();
+        reportedUnits = accounts.stream().mapToInt(a -> a.units).toArray();
     }
 
-    /** The life of the other router that was heard last; 0 if none was. */
-    int life() {
-        return life;
+    /** Returns the number of the other router's run that was heard last; 0 if none was. */
+    int peerRunNumber() {
+        return peerRunNumber;
     }
 
-    /** Whether the other router has told something to this life of this router. */
+    /** Returns whether the other router has sent anything to the present run of this router. */
     boolean answered() {
         return answered;
     }
 
-    /** Whether this end holds the ledger. */
+    /** Returns whether this end knows the totals. */
     boolean known() {
         return known;
     }
 
-    /** Whether the message that was heard last shows the ledger as this end told it, so that more may move. */
+    /** Returns whether the last message confirmed the totals as this end had sent them, so that more may move. */
     boolean mayMove() {
         return mayMove;
     }
 
-    /** One of the accounts on this page, by its place there. */
-    Account account(int place) {
-        return accounts.get(place);
+    /** Returns an account by its position on this page. */
+    Account account(int position) {
+        return accounts.get(position);
     }
 
-    /** What the next message is to say of the ledger and of messages. */
-    SupplyMessage message(boolean ask, boolean starting, int me, double rate, Map<Long, Double> popular) {
+    /** Builds the next message about this page and gives it the next sequence number. */
+    SupplyMessage message(
+            boolean answerWanted, boolean starting, int runNumber, double rate, Map<Long, Double> popular) {
         return new SupplyMessage(
                 page,
-                ask,
+                answerWanted,
                 known,
                 starting,
-                me,
-                life,
-                ++sent,
-                heard,
+                runNumber,
+                peerRunNumber,
+                ++lastSent,
+                lastReceived,
                 rate,
                 flow.clone(),
                 accounts.stream().mapToInt(Account::own).toArray(),
@@ -90,143 +99,162 @@
                 popular);
     }
 
-    /** Whether a message is of a later life than all before it. */
-    boolean isAnew(SupplyMessage m) {
-        return life == 0 || m.from() - life > 0;
+    /** Returns whether a message is from a later run of the other router than all messages before. */
+    boolean isFromNewRun(SupplyMessage m) {
+        return peerRunNumber == 0 || m.senderRun() - peerRunNumber > 0;
     }
 
-    /** Whether a message is neither doubled nor overtaken nor of an earlier life. */
-    boolean isNews(SupplyMessage m) {
-        return isAnew(m) || m.from() == life && m.sequence() - heard > 0;
+    /**
+     * Returns whether a message is neither a duplicate nor out of order nor from an earlier run of the other router.
+     */
+    boolean isNew(SupplyMessage m) {
+        return isFromNewRun(m) || m.senderRun() == peerRunNumber && m.sequence() - lastReceived > 0;
     }
 
-    /** Takes a message that is news. */
-    void hear(SupplyMessage m, int me) {
-        if (lower && isAnew(m) && !m.known()) {
+    /**
+     * Processes a message for which {@link #isNew} holds.
+     *
+     * @param runNumber number of the present run of this router
+     */
+    void receive(SupplyMessage m, int runNumber) {
+        if (lower && isFromNewRun(m) && !m.known()) {
             withdrawRequests();
         }
-        life = m.from();
-        heard = m.sequence();
-        // One that has just started does not know its supply yet; what its earlier life told still holds.
-        if (!told || m.known() && !m.starting()) {
-            theirUnits = m.units().clone();
-            theirFlow = m.flow();
-            told = true;
-            toldByBooks = m.known() && !m.starting();
+        peerRunNumber = m.senderRun();
+        lastReceived = m.sequence();
+        // A router that has just started does not know its supply yet; the report of its previous run still holds.
+        if (!hasReport || m.known() && !m.starting()) {
+            reportedUnits = m.units().clone();
+            reportedFlow = m.flow();
+            hasReport = true;
+            reportIsReliable = m.known() && !m.starting();
         }
         mayMove = false;
-        if (m.to() == me) {
-            take(m);
+        if (m.receiverRun() == runNumber) {
+            reconcile(m);
         }
     }
 
-    private void take(SupplyMessage m) {
+    /** Brings the totals of both ends together, by a message to the present run of this router. */
+    private void reconcile(SupplyMessage m) {
         answered = true;
-        boolean had = known;
+        boolean wasKnown = known;
         known = true;
-        // Where both have just started the ledger begins at nothing.
-        if (!had && m.known()) {
+        // If both ends have just started, the totals begin at 0.
+        if (!wasKnown && m.known()) {
             adopt(m.flow());
-        } else if (had && m.known() && !lower) {
+        } else if (wasKnown && m.known() && !lower) {
             apply(m.flow());
-        } else if (had && m.known() && m.heard() == sent) {
-            settle(m.flow());
+        } else if (wasKnown && m.known() && m.acknowledged() == lastSent) {
+            confirm(m.flow());
             mayMove = !m.starting();
         }
     }
 
-    private void adopt(int[] theirs) {
+    /** Takes over the totals of the other end, which this end has lost in its restart. */
+    private void adopt(int[] peerFlow) {
         for (int a = 0; a < flow.length; a++) {
-            accounts.get(a).units += lower ? -theirs[a] : theirs[a];
-            flow[a] = theirs[a];
-            settled[a] = theirs[a];
+            accounts.get(a).units += lower ? -peerFlow[a] : peerFlow[a];
+            flow[a] = peerFlow[a];
+            confirmedFlow[a] = peerFlow[a];
         }
     }
 
     /**
-     * The lower end takes back what it has asked for and not been granted. Guards against a higher end that has just
-     * started and takes the total over as it is told: it would give what its heir counts as its own, or what it never had.
+     * Lower end: takes back requests for supply that have not been granted. Guards against a higher end that has just
+     * started and adopts the total with such a request in it: it would give away supply that its ring successor holds
+     * for it, or that it never had.
      */
     private void withdrawRequests() {
         for (int a = 0; a < flow.length; a++) {
-            flow[a] = debited(a);
+            flow[a] = flowWithoutRequests(a);
         }
     }
 
-    /** The higher end: takes what has come, and gives what is asked back as far as it has it. */
-    private void apply(int[] theirs) {
+    /** Higher end: credits supply that it was given, and grants requests as far as it has the supply. */
+    private void apply(int[] peerFlow) {
         for (int a = 0; a < flow.length; a++) {
             Account own = accounts.get(a);
-            int moved = Math.max(theirs[a] - flow[a], -Math.max(0, own.held()));
+            int moved = Math.max(peerFlow[a] - flow[a], -Math.max(0, own.held()));
             own.units += moved;
             flow[a] += moved;
-            theirUnits[a] += Math.max(0, -moved);
+            reportedUnits[a] += Math.max(0, -moved);
         }
     }
 
-    /** The lower end: takes back what the other end has not taken, and what it gave. */
-    private void settle(int[] theirs) {
+    /** Lower end: takes back what the other end has not credited, and credits what the other end granted. */
+    private void confirm(int[] peerFlow) {
         for (int a = 0; a < flow.length; a++) {
-            accounts.get(a).units += debited(a) - theirs[a];
-            flow[a] = theirs[a];
-            settled[a] = theirs[a];
+            accounts.get(a).units += flowWithoutRequests(a) - peerFlow[a];
+            flow[a] = peerFlow[a];
+            confirmedFlow[a] = peerFlow[a];
         }
     }
 
-    /** Moves so much of an account to the other end; below 0 it is asked for. Only the lower end does. */
+    /**
+     * Lower end: moves units of an account to the other end, at most as many as it holds. A negative amount is a
+     * request to the other end, which is credited only once granted.
+     */
     void move(int a, int amount) {
-        int most = Math.max(0, accounts.get(a).held());
-        int moved = Math.min(amount, most);
+        int available = Math.max(0, accounts.get(a).held());
+        int moved = Math.min(amount, available);
         flow[a] += moved;
         accounts.get(a).units -= Math.max(0, moved);
     }
 
-    /** By the difference: totals go on past the end of their numbers, where supply goes round the ring for long. */
-    private int debited(int a) {
-        return flow[a] - settled[a] > 0 ? flow[a] : settled[a];
+    /**
+     * Returns the total without requests that have not been granted. Totals are compared by their difference: they
+     * overflow where supply moves round the ring for a long time.
+     */
+    private int flowWithoutRequests(int a) {
+        return flow[a] - confirmedFlow[a] > 0 ? flow[a] : confirmedFlow[a];
     }
 
-    /** Uses the other router's supply until it is given back. */
+    /** Uses the other router's supply until {@link #endInheritance} is called. */
     void inherit() {
-        loan = new int[flow.length];
-        for (int a = 0; a < loan.length; a++) {
-            loan[a] = Math.max(0, theirs(a));
-            accounts.get(a).inherited += loan[a];
+        inheritedUnits = new int[flow.length];
+        for (int a = 0; a < inheritedUnits.length; a++) {
+            inheritedUnits[a] = Math.max(0, currentPeerUnits(a));
+            accounts.get(a).inherited += inheritedUnits[a];
         }
     }
 
-    /** The other router's own supply as it told last, with what has moved to it since. */
-    private int theirs(int a) {
-        return theirUnits[a] + (lower ? debited(a) - theirFlow[a] : 0);
+    /** Returns the other router's own units as it reported them last, with what has moved to it since. */
+    private int currentPeerUnits(int a) {
+        return reportedUnits[a] + (lower ? flowWithoutRequests(a) - reportedFlow[a] : 0);
     }
 
-    /** What a life of the other router that has just started is to know of the one before; null if this one does not know it. */
+    /** Returns what a restarted router is to learn about its previous run; null if this end does not know. */
     SupplyReminder reminder() {
-        return toldByBooks && known
+        return reportIsReliable && known
                 ? new SupplyReminder(
-                        life, IntStream.range(0, flow.length).map(this::theirs).toArray())
+                        peerRunNumber,
+                        IntStream.range(0, flow.length)
+                                .map(this::currentPeerUnits)
+                                .toArray())
                 : null;
     }
 
     /**
      * Stops using the other router's supply.
      *
-     * @param lost whether the other router no longer has the ledger: then what of the loan is spent is booked as moved to this end
+     * @param lost whether the other router has lost its totals; then what this router passed on of that supply and no
+     *     longer has is recorded as moved to this end, so that neither router owes it
      */
-    void giveBack(boolean lost) {
-        if (loan == null) {
+    void endInheritance(boolean lost) {
+        if (inheritedUnits == null) {
             return;
         }
-        for (int a = 0; a < loan.length; a++) {
+        for (int a = 0; a < inheritedUnits.length; a++) {
             Account own = accounts.get(a);
-            own.inherited -= loan[a];
-            int gone = lost ? Math.min(loan[a], Math.max(0, -own.booked())) : 0;
-            known |= gone > 0;
-            own.units += gone;
-            flow[a] += lower ? -gone : gone;
-            settled[a] += lower ? -gone : gone;
-            theirUnits[a] -= lower ? 0 : gone;
+            own.inherited -= inheritedUnits[a];
+            int spent = lost ? Math.min(inheritedUnits[a], Math.max(0, -own.ownAndInherited())) : 0;
+            known |= spent > 0;
+            own.units += spent;
+            flow[a] += lower ? -spent : spent;
+            confirmedFlow[a] += lower ? -spent : spent;
+            reportedUnits[a] -= lower ? 0 : spent;
         }
-        loan = null;
+        inheritedUnits = null;
     }
 }
--- a/src/test/java/slateseam/decision/SupplyLinksTest.java
+++ b/src/test/java/slateseam/decision/SupplyLinksTest.java
@@ -14,7 +14,7 @@
 import slateseam.decision.Api.TellPeer;
 import slateseam.decision.Api.TimerFired;
 
-/** Who is linked with whom, what is asked of partners, and what one that has just started is told. */
+/** Tests which routers are linked, the messages on links, and the encoding of reminders. */
 class SupplyLinksTest {
     private static final SupplyLinks ON = new SupplyLinks(true, 500 * MS);
 
@@ -35,16 +35,16 @@
         assertThat(SupplyLinks.OFF.partners(0, 2_000)).isEmpty();
     }
 
-    private static List<TellPeer> told(SupplyLinks links, PeerMessage heard) {
+    private static List<TellPeer> messagesSent(SupplyLinks links, PeerMessage received) {
         Brain brain = new Brain(World.settings(0, 16, false, List.of()), 1, links);
         List<Action> actions = new ArrayList<>();
         long now = 1_000_000 * MS;
         brain.handle(now, new Started(), actions::add);
         actions.clear();
-        if (heard != null) {
-            brain.handle(now, heard, actions::add);
+        if (received != null) {
+            brain.handle(now, received, actions::add);
         }
-        for (int i = 0; heard == null && i < 2_000; i++) {
+        for (int i = 0; received == null && i < 2_000; i++) {
             now += 10 * MS;
             brain.handle(now, new TimerFired(1), actions::add);
         }
@@ -54,7 +54,7 @@
                 .toList();
     }
 
-    private static PeerMessage ask(int from) {
+    private static PeerMessage request(int from) {
         int[] none = new int[1];
         return new PeerMessage(
                 from,
@@ -63,41 +63,45 @@
     }
 
     @Test
-    void onlyWhoHasLinksAnswersAPartner() {
-        assertThat(told(ON, ask(4))).hasSize(1).allMatch(tell -> tell.to() == 4);
-        assertThat(told(ON, ask(5))).isEmpty();
-        assertThat(told(SupplyLinks.OFF, ask(4))).isEmpty();
-        assertThat(told(SupplyLinks.OFF, ask(1))).hasSize(1);
+    void onlyARouterWithLinksAnswersAPartner() {
+        assertThat(messagesSent(ON, request(4))).hasSize(1).allMatch(message -> message.to() == 4);
+        assertThat(messagesSent(ON, request(5))).isEmpty();
+        assertThat(messagesSent(SupplyLinks.OFF, request(4))).isEmpty();
+        assertThat(messagesSent(SupplyLinks.OFF, request(1))).hasSize(1);
     }
 
-    /** Guards against a tier of two builds, or one with dead routers, in which many are asked in vain and often. */
+    /**
+     * Guards against frequent messages to partners that never answer, as in a tier of two builds or with dead
+     * routers.
+     */
     @Test
-    void whoNeverAnswersIsAskedSeldom() {
-        List<TellPeer> told = told(ON, null);
-        // Every 50 ms while it waits for answers at its start, 0.25 s; then every 4 s of the 20.
-        assertThat(told.stream().filter(tell -> tell.to() == 4)).hasSizeBetween(5, 12);
-        assertThat(told(SupplyLinks.OFF, null)).allMatch(tell -> tell.to() == 1 || tell.to() == 15);
+    void partnerThatNeverAnswersIsAskedRarely() {
+        List<TellPeer> messagesSent = messagesSent(ON, null);
+        // A message every 50 ms during the 0.25 s of its start, while the router waits for answers; then one every 4 s
+        // of the 20 s.
+        assertThat(messagesSent.stream().filter(message -> message.to() == 4)).hasSizeBetween(5, 12);
+        assertThat(messagesSent(SupplyLinks.OFF, null)).allMatch(message -> message.to() == 1 || message.to() == 15);
     }
 
     @Test
-    void partnersAreToldNoKeys() {
-        for (TellPeer tell : told(ON, ask(4))) {
-            assertThat(SupplyMessage.decode(tell.payload(), List.of(1)).popular())
+    void messagesToPartnersCarryNoKeys() {
+        for (TellPeer message : messagesSent(ON, request(4))) {
+            assertThat(SupplyMessage.decode(message.payload(), List.of(1)).popular())
                     .isEmpty();
         }
     }
 
     @Test
-    void remindersAreReadAndGarbledOnesAreNot() {
+    void remindersAreDecodedAndMalformedOnesRejected() {
         byte[] bytes = new SupplyReminder(7, new int[] {3, -4}).encode();
         SupplyReminder back = SupplyReminder.decode(bytes, 2);
-        assertThat(back.to()).isEqualTo(7);
+        assertThat(back.receiverRun()).isEqualTo(7);
         assertThat(back.units()).containsExactly(3, -4);
         assertThat(SupplyReminder.decode(bytes, 1)).isNull();
         assertThat(SupplyReminder.decode(Arrays.copyOf(bytes, bytes.length - 1), 2))
                 .isNull();
-        assertThat(SupplyReminder.isOne(new byte[0])).isFalse();
-        // A build without links takes it for a message of another version.
+        assertThat(SupplyReminder.isReminder(new byte[0])).isFalse();
+        // A build without links reads a reminder as a message of another version and ignores it.
         assertThat(SupplyMessage.decode(bytes, List.of(2))).isNull();
     }
 }
--- a/src/test/java/slateseam/decision/SupplyTest.java
+++ b/src/test/java/slateseam/decision/SupplyTest.java
@@ -10,14 +10,15 @@
 import org.junit.jupiter.api.Test;
 import slateseam.decision.Api.*;
 
-/** Supply is never minted, whatever happens to messages and routers. */
+/** Tests that no supply is created or lost, whatever happens to messages and routers. */
 class SupplyTest {
+    /** Returns the accounts of a router: the origin's budget, then the tenants' shares. */
     @SuppressWarnings("unchecked")
     static List<Account> accounts(Brain brain) {
         return (List<Account>) field(brain, "budgets", "accounts");
     }
 
-    /** What the module holds under these names, one within the other. */
+    /** Reads a private field, by a path of field names that starts at the given object. */
     static Object field(Object of, String... path) {
         try {
             for (String name : path) {
@@ -86,12 +87,12 @@
         assertTrue(ring.total(0) <= Account.WHOLE * 1.1, "total " + ring.total(0));
     }
 
-    /** While the ring has brought it next to nothing, a router neither raises R nor takes work for beyond its share. */
+    /** A router that holds next to nothing of a budget neither raises R nor treats requests as beyond their share. */
     @Test
     void aRouterWithoutItsShareBlamesNeitherTheOriginNorTheTenants() {
         World w = new World(World.settings(0, 2, false, List.of(new Tenant("t", 2, 1))), 3);
         w.fleet(10);
-        int to = (int) field(w.brain, "budgets", "life");
+        int receiverRun = (int) field(w.brain, "budgets", "runNumber");
         int[] all = {Account.WHOLE / 2, Account.WHOLE / 2};
         w.on(new PeerMessage(
                 1,
@@ -101,7 +102,7 @@
                                 true,
                                 false,
                                 5,
-                                to,
+                                receiverRun,
                                 1,
                                 0,
                                 40,
@@ -132,8 +133,8 @@
     }
 
     @Test
-    void messagesFitAndGarbledOnesAreIgnored() {
-        int most = SupplyMessage.MOST_ACCOUNTS;
+    void messagesFitAndMalformedOnesAreIgnored() {
+        int most = SupplyMessage.MAX_ACCOUNTS;
         double[] demand = new double[most];
         Arrays.fill(demand, 2);
         byte[] bytes = new SupplyMessage(
@@ -153,11 +154,11 @@
                         Map.of())
                 .encode();
         assertTrue(bytes.length <= 256);
-        SupplyMessage back = SupplyMessage.decode(bytes, SupplyMessage.pages(most));
+        SupplyMessage back = SupplyMessage.decode(bytes, SupplyMessage.pageSizes(most));
         assertEquals(7, back.sequence());
         assertEquals(2, back.demand()[most - 1]);
-        assertNull(SupplyMessage.decode(bytes, SupplyMessage.pages(most - 1)));
-        assertNull(SupplyMessage.decode(Arrays.copyOf(bytes, bytes.length - 1), SupplyMessage.pages(most)));
+        assertNull(SupplyMessage.decode(bytes, SupplyMessage.pageSizes(most - 1)));
+        assertNull(SupplyMessage.decode(Arrays.copyOf(bytes, bytes.length - 1), SupplyMessage.pageSizes(most)));
         for (double rate : new double[] {0, -1, Double.NaN, Double.POSITIVE_INFINITY, 1e9}) {
             byte[] absurd = new SupplyMessage(
                             0,
@@ -175,21 +176,21 @@
                             demand,
                             Map.of())
                     .encode();
-            assertNull(SupplyMessage.decode(absurd, SupplyMessage.pages(most)), "a rate of " + rate);
+            assertNull(SupplyMessage.decode(absurd, SupplyMessage.pageSizes(most)), "a rate of " + rate);
         }
         bytes[0]++;
-        assertNull(SupplyMessage.decode(bytes, SupplyMessage.pages(most)), "another version");
+        assertNull(SupplyMessage.decode(bytes, SupplyMessage.pageSizes(most)), "another version");
     }
 
     @Test
-    void popularKeysAreToldAsFarAsThereIsRoom() {
+    void popularKeysAreSentAsFarAsThereIsRoom() {
         KeyCounts keys = new KeyCounts();
         for (long key = 1; key <= 40; key++) {
             for (int i = 0; i < key; i++) {
                 keys.read(key);
             }
         }
-        int room = SupplyMessage.room(0, 3);
+        int room = SupplyMessage.keyCapacity(0, 3);
         byte[] bytes = new SupplyMessage(
                         0,
                         true,
@@ -208,7 +209,7 @@
                 .encode();
         assertTrue(bytes.length <= 256);
         Map<Long, Double> told =
-                SupplyMessage.decode(bytes, SupplyMessage.pages(3)).popular();
+                SupplyMessage.decode(bytes, SupplyMessage.pageSizes(3)).popular();
         assertEquals(room, told.size());
         assertEquals(40, told.get(40L));
         assertEquals(821, told.get(0L));
