--- a/src/main/java/slateseam/tier/members/Change.java
+++ b/src/main/java/slateseam/tier/members/Change.java
@@ -1,35 +1,35 @@
 package slateseam.tier.members;
 
 /**
- * Something that this router's view came to.
+ * A change of this router's view of the tier, reported through {@link MembersPort#changed}.
  *
- * @param kind what it is
- * @param member the name of whom it tells; this router's own for its doubts
- * @param number of that member, -1 if nobody has said
- * @param why the cause, as name=value pairs
+ * @param kind what changed
+ * @param member the name of the member that changed; this router's own name for {@link Kind#DOUBT}
+ * @param number the number of that member in the list of peers, -1 if it is not known
+ * @param why the cause and the previous state, as space-separated {@code name=value} pairs
  */
 public record Change(Kind kind, String member, int number, String why) {
-    /** The kinds; each is a line of the log. */
+    /** The kinds of change; each one is written to the log as an event of its own. */
     public enum Kind {
-        /** Somebody is there who was not, or not in this life. */
+        /** A member appeared that was not known before, or a known member started a new life. */
         JOINED("member-joined"),
-        /** Those who watch it hear it no more. */
+        /** The routers that monitor the member no longer receive messages from it. */
         SUSPECTED("member-suspect"),
-        /** It was suspected, and is there. */
+        /** A suspicion of the member was refuted. */
         CLEARED("member-cleared"),
-        /** It had failed, and is there in the same life. */
+        /** A member that had been declared failed was heard again in the same life. */
         RETURNED("member-returned"),
-        /** It is taken for dead. */
+        /** The member was declared failed. */
         FAILED("member-failed"),
-        /** It said that it ends. */
+        /** The member announced its shutdown. */
         LEFT("member-left"),
-        /** It has been gone for so long that it is forgotten. */
+        /** A member that failed or left was removed from the view after the retention period. */
         FORGOTTEN("member-forgotten"),
-        /** Two processes go by one name. */
+        /** Two running processes use the same router name. */
         TWICE("member-twice"),
-        /** This router's doubt of itself began, changed or ended. */
+        /** The reason for which this router distrusts its own view changed, appeared or disappeared. */
         DOUBT("tier-doubt"),
-        /** No room for one more. */
+        /** A new member was rejected because the view has reached its maximum size. */
         FULL("tier-full");
 
         private final String word;
@@ -38,7 +38,7 @@
             this.word = word;
         }
 
-        /** The log's name for it. */
+        /** Returns the event name that is written to the log. */
         public String word() {
             return word;
         }
--- a/src/main/java/slateseam/tier/members/GossipQueue.java
+++ b/src/main/java/slateseam/tier/members/GossipQueue.java
@@ -9,10 +9,18 @@
 import java.util.TreeSet;
 import slateseam.tier.members.Message.Record;
 
-/** What is to be passed on: of each member the last that was said, told to so many others, the least told first. */
+/**
+ * Updates about members that are waiting to be piggybacked on outgoing datagrams. The queue keeps only the latest
+ * update of each member, hands out the updates with the fewest transmissions first, and drops an update after a
+ * number of transmissions that grows with the logarithm of the tier's size.
+ */
 final class GossipQueue {
+    /** Transmissions of an update for each doubling of the number of members. */
     private static final int TELLS_PER_DOUBLING = 3;
-    /** Guards against looking through a thousand that do not fit for one that does. */
+    /**
+     * Limit on the updates examined for one datagram, so that a queue of a thousand updates that do not fit is not
+     * scanned for one that does.
+     */
     private static final int MOST_LOOKS = 32;
 
     private static final class Item {
@@ -29,13 +37,16 @@
     }
 
     private final Map<Long, Item> items = new HashMap<>();
-    /** The same; kept in order, as sorting all for each datagram costs more than all else while many join. */
+    /**
+     * The items of {@link #items}, fewest transmissions first and then newest first. The order is maintained
+     * incrementally, because sorting all items for each datagram dominated the cost while many members joined.
+     */
     private final NavigableSet<Item> byTold =
             new TreeSet<>(Comparator.<Item>comparingInt(item -> item.told).thenComparing(item -> -item.order));
 
     private long orders;
 
-    /** Replaces what was to be told of a member. */
+    /** Queues an update of a member in place of any earlier update of the same member. */
     void add(long id, Record record) {
         Item item = new Item(id, record, orders++);
         Item before = items.put(id, item);
@@ -45,7 +56,13 @@
         byTold.add(item);
     }
 
-    /** As much as has room, each counted as told once more; what was told often enough among so many members goes. */
+    /**
+     * Takes the updates that fit into a datagram and counts one more transmission for each of them. Updates that have
+     * been transmitted often enough for a tier of this size are removed from the queue.
+     *
+     * @param bytes the room that is left in the datagram
+     * @param members the number of members that are present
+     */
     List<Record> take(int bytes, int members) {
         int most = TELLS_PER_DOUBLING * (Integer.SIZE - Integer.numberOfLeadingZeros(members + 1));
         List<Item> taken = new ArrayList<>();
--- a/src/main/java/slateseam/tier/members/LocalHealth.java
+++ b/src/main/java/slateseam/tier/members/LocalHealth.java
@@ -9,22 +9,33 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Whether this router trusts what it sees: it was not paused, hears most, and is heard. */
+/**
+ * Decides whether this router may trust its own view of the tier: the process was not paused, hears a majority of the
+ * members, and is heard by others. While the view is not trusted, this router neither suspects nor declares failed
+ * any member.
+ */
 final class LocalHealth {
-    /** Between two ticks; after a longer time this router stood still. */
+    /** A gap between two ticks that is longer than this (300 ms) counts as a pause of this process. */
     private static final long STOOD_STILL = 300_000_000L;
 
-    /** Half, but for what is lost when it is told in a byte. */
+    /**
+     * The silent fraction above which this router counts itself as part of a minority: one half, less the rounding
+     * loss of sending the fraction in one byte.
+     */
     private static final double LEAST_MINORITY = 0.495;
 
     private final MembersSettings settings;
     private final long self;
     private final Roster roster;
     private final Watch watch;
+    /** The members heard since this process resumed after a pause; filled only while {@link #paused}. */
     private final Set<Long> heardSince = new HashSet<>();
-    /** Those that were heard lately, and some that were not since. */
+    /** The members heard recently; members that have fallen silent are removed at the next evaluation. */
     private final List<Member> recent = new ArrayList<>();
-    /** Whom each watches, by their numbers; worked out for {@link #watchedVersion} of the rings. */
+    /**
+     * The members that each router monitors, by the id of the monitoring router; computed for version {@link
+     * #watchedVersion} of the rings.
+     */
     private final Map<Long, List<Member>> watched = new HashMap<>();
 
     private int watchedVersion = -1;
@@ -33,7 +44,7 @@
     private boolean heardAny;
     private boolean paused;
     private boolean unheard;
-    /** Which part of the tier is silent: as it is here, evened out with what others say. */
+    /** The fraction of the tier that is silent, averaged over this router's observation and the reports of others. */
     private double silentPart;
 
     private LocalHealthIssue doubt = LocalHealthIssue.STARTING;
@@ -46,15 +57,17 @@
         lastTick = now;
     }
 
+    /** Returns the result of the last evaluation. */
     LocalHealthIssue now() {
         return doubt;
     }
 
+    /** Returns whether this router currently distrusts its view. */
     boolean isThere() {
         return doubt != LocalHealthIssue.NONE;
     }
 
-    /** Time goes on; a gap in it was a pause of this router. */
+    /** Advances the clock. A long gap since the previous tick means that this process was paused. */
     void tick(long now) {
         long gap = now - lastTick;
         lastTick = now;
@@ -65,6 +78,7 @@
         }
     }
 
+    /** Records that a message of a member arrived. */
     void heard(Member sender) {
         heardAny = true;
         if (paused) {
@@ -76,14 +90,16 @@
         }
     }
 
-    /** Others take this router for gone, or see it again. */
+    /** Records whether other routers hold this router as failed or left. */
     void unheard(boolean so) {
         unheard = so;
     }
 
     /**
-     * Guards against the few that each watches, of whom chance may let most lie behind a cut, or few: with what others say, who hear
-     * others say it, it comes to what all on this side of the cut see together.
+     * Averages the silent fraction with the fractions that other members report. This router monitors only a few
+     * members, and by chance most or few of these may lie behind a network partition. The members it hears average
+     * over their own peers in turn, so the value converges to what all routers on this side of the partition observe
+     * together.
      */
     private void evenOut(double own, long now) {
         recent.removeIf(member -> {
@@ -97,7 +113,7 @@
         silentPart = (own + (double) sum / Member.MOST_SILENT) / (1 + recent.size());
     }
 
-    /** Whom each watches, of all that are there. */
+    /** Returns the members that each router monitors, by the id of the monitoring router. */
     private Map<Long, List<Member>> watched() {
         if (watchedVersion != roster.rings.version()) {
             watchedVersion = roster.rings.version();
@@ -114,8 +130,11 @@
     }
 
     /**
-     * Whether there are more than half of so many, as far as this router can know: those that it hears, those that one of these watches
-     * and does not suspect, and so on. Guards against one whom nobody on this side of a cut watches, so that nobody misses it.
+     * Returns whether a majority of the members is reachable as far as this router can tell. The search starts from
+     * the members that this router hears and goes on to the members that are monitored by a reached member and not
+     * suspected. Without it, a member that no router on this side of a partition monitors would be missed by nobody.
+     *
+     * @param base the number of members of which a majority is required
      */
     private boolean reachesMost(long base, long now) {
         searches++;
@@ -142,12 +161,12 @@
         return alive * 2L > base;
     }
 
-    /** Which part of the tier is silent, as far as one can tell here; 0 to 1. */
+    /** Returns the fraction of the tier that is silent as far as this router can tell, from 0 to 1. */
     double silentPart() {
         return silentPart;
     }
 
-    /** What it comes to now. */
+    /** Evaluates the current situation and returns the reason for which this router distrusts its view, if any. */
     LocalHealthIssue look(long now) {
         long subjects = 0;
         long silent = 0;
--- a/src/main/java/slateseam/tier/members/LocalHealthIssue.java
+++ b/src/main/java/slateseam/tier/members/LocalHealthIssue.java
@@ -2,20 +2,20 @@
 
 import java.util.Locale;
 
-/** Why a router does not trust what it sees. */
+/** The reason for which a router distrusts its own view of the tier. */
 public enum LocalHealthIssue {
-    /** It does. */
+    /** The router trusts its view. */
     NONE,
-    /** It has just started and has heard nobody yet. */
+    /** The router has just started and has not heard any other member yet. */
     STARTING,
-    /** It stood still, and has not heard a majority again since. */
+    /** The process was paused and has not heard a majority of the members it monitors since. */
     PAUSED,
-    /** It does not hear a majority of those who were there. */
+    /** The router does not hear a majority of the members that were present recently. */
     MINORITY,
-    /** Others take it for gone. */
+    /** Other members hold this router as failed or left. */
     UNHEARD;
 
-    /** As figures and logs name it. */
+    /** Returns the name used in metrics and logs. */
     public String word() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/slateseam/tier/members/Member.java
+++ b/src/main/java/slateseam/tier/members/Member.java
@@ -5,82 +5,112 @@
 import java.util.Map;
 import slateseam.tier.members.Message.Ear;
 
-/** What is known of another member. */
+/**
+ * This router's knowledge of one other member. A <em>life</em> is one run of the member's process and is identified
+ * by its start time in Unix milliseconds; an incarnation number orders the claims about the member within a life.
+ * Times without another unit are nanoseconds.
+ */
 final class Member {
+    /** The shortest time, 2 s, for which a refutation by another member protects this member from suspicion. */
     private static final long LEAST_VOUCH = 2_000_000_000L;
+    /** The longest such time, 16 s; the time doubles with each refutation. */
     private static final long MOST_VOUCH = 16_000_000_000L;
-    /** All that it and others watch are silent. */
+    /** The encoding of a silent fraction of 1, which means that every monitored member is silent. */
     static final int MOST_SILENT = 255;
 
-    /** How a watcher heard it last, and until when that holds. */
+    /** The last verdict of a router that monitors this member, and the time until which the verdict is valid. */
     record Heard(Ear ear, long until) {}
 
     final long id;
     String name;
+    /** The number in the list of peers; -1 if it is not known. */
     int number = -1;
+
     InetSocketAddress place;
-    /** Where others say that it is. */
+    /** The address that other members report for this member; null if none has been reported. */
     InetSocketAddress toldPlace;
 
+    /** The start time of the member's process in Unix milliseconds, as announced by the member itself. */
     long life;
+
     int incarnation;
     State state = State.ALIVE;
+    /** The time at which the member entered its current state or life. */
     long since;
-    /** Who said so. */
+    /** The id of the router that reported the current state. */
     long by;
-    /** Of its messages, in its life. */
+    /** The sequence number of the last message received in this life. */
     int sequence;
-    /** When its last message came here; 0 for never in this life. */
+    /** The time at which the last message arrived; 0 if none has arrived in this life. */
     long heardAt;
-    /** Messages in a row, each soon after the one before, since it has gone. */
+    /** Messages received in quick succession since the member was declared failed. */
     int afresh;
-    /** From when on its silence counts: nobody is accused before it could be heard. */
+    /**
+     * The time from which silence counts, so that a member is not suspected for a time in which it could not be
+     * heard.
+     */
     long watchedSince;
 
+    /** Moving average of the time between two messages of this member. */
     private double meanGap;
+    /** Moving estimate of the deviation of the gaps from their mean. */
     private double deviation;
-    /** Since when it is silent for this router, which watches it; 0 if it is not. */
+    /**
+     * The time at which this router, which monitors the member, first found it silent; 0 if the member is not silent.
+     */
     long silentSince;
 
+    /** The time at which this router last sent its verdict on the silent member to the other monitors. */
     long toldAt;
-    /** Until when another's word for it holds, for one that does not hear it; it holds longer each time. */
+    /**
+     * The time until which a refutation by another member protects this member from being suspected here again; the
+     * protection lengthens with each refutation.
+     */
     long vouchedUntil;
 
+    /** The number of refutations by others since a message last arrived here. */
     private int vouched;
-    /** Until when it may answer a suspicion. */
+    /** The deadline for refuting the current suspicion; 0 unless the member is suspect. */
     long suspectUntil;
 
+    /** The verdicts of other routers on this member, by the id of the router. */
     final Map<Long, Heard> ears = new HashMap<>();
-    /** Another process of its name. */
+    /** The life of another process that uses the same name. */
     long otherLife;
 
+    /** The sequence number of the last message of that other process. */
     int otherSequence;
+    /** The number of messages of that other process received in sequence. */
     int others;
+    /** The time at which the duplicate name was last reported; 0 if it has not been reported. */
     long twiceAt;
-    /** Which part of those that it and others watch is silent, as it said last; of {@link #MOST_SILENT}. */
+    /** The fraction of the tier that the member last reported as silent, in units of 1/{@link #MOST_SILENT}. */
     int silent;
-    /** Whether it is among those that were heard lately. */
+    /** Whether {@link LocalHealth} has the member in its list of recently heard members. */
     boolean isRecent;
-    /** The last search for those that can be reached which came to it. */
+    /** The number of the last reachability search of {@link LocalHealth} that reached this member. */
     int reachedBy;
-    /** How often in a row its sender's digest was another. */
+    /** The number of consecutive messages of the member whose view digest differed from the digest here. */
     int differs;
 
     Member(long id) {
         this.id = id;
     }
 
-    /** Whether a claim says something newer than what is known. */
+    /**
+     * Returns whether a claim supersedes the known state: a later life, a higher incarnation of the same life, or a
+     * later {@link State} of the same incarnation.
+     */
     boolean isOlderThan(long aLife, int anIncarnation, State aState) {
         if (aLife == life && (state == State.LEFT || aState == State.LEFT)) {
-            return state != State.LEFT; // nobody can answer for one that said itself that it ends
+            return state != State.LEFT; // nobody can refute a departure that the member itself announced
         }
         return aLife > life
                 || aLife == life
                         && (anIncarnation > incarnation || anIncarnation == incarnation && aState.compareTo(state) > 0);
     }
 
-    /** Begins another life. */
+    /** Resets the per-life state for a new life of the member. */
     void lives(long aLife, int anIncarnation, long now) {
         life = aLife;
         incarnation = anIncarnation;
@@ -95,18 +125,27 @@
         ears.clear();
     }
 
-    /** Another has answered a suspicion for it. Guards against one that does not hear it and suspects it again and again. */
+    /**
+     * Records that another member refuted a suspicion of this member. The member is protected for a time, so that a
+     * router that cannot hear it does not suspect it over and over.
+     */
     void vouchedFor(long now) {
         vouchedUntil = now + Math.min(MOST_VOUCH, LEAST_VOUCH << Math.min(vouched, 8));
         vouched++;
     }
 
-    /** A message came; learns the usual gaps from it, unless the gap may have been this router's own. */
+    /**
+     * Records the arrival of a message and updates the statistics of the gaps between messages.
+     *
+     * @param period the heartbeat period
+     * @param learns false if the gap may have been caused by this router's own pause and must not enter the
+     *     statistics
+     */
     void hear(long now, long period, boolean learns) {
         if (heardAt != 0 && learns) {
             double gap = Math.min(now - heardAt, 8.0 * period);
             meanGap = meanGap == 0 ? gap : meanGap + (gap - meanGap) / 16;
-            // A gap out of the ordinary counts at once and is forgotten slowly.
+            // The estimate rises quickly on an unusual gap and decays slowly.
             double off = Math.abs(gap - meanGap);
             deviation += (off - deviation) / (off > deviation ? 4 : 32);
         }
@@ -116,7 +155,10 @@
         vouched = 0;
     }
 
-    /** So long a silence is more than chance. */
+    /**
+     * Returns the silence after which the member counts as silent: the mean gap plus four deviations plus one and a
+     * half periods, but at least 4 and at most 12 periods.
+     */
     long patience(long period) {
         double usual = meanGap == 0 ? period : meanGap;
         return (long) Math.max(4.0 * period, Math.min(12.0 * period, usual + 4 * deviation + 1.5 * period));
--- a/src/main/java/slateseam/tier/members/MemberView.java
+++ b/src/main/java/slateseam/tier/members/MemberView.java
@@ -3,14 +3,18 @@
 import java.net.InetSocketAddress;
 
 /**
- * A member as one router sees it.
+ * A snapshot of one member as this router sees it.
  *
- * @param number among the routers' peers; -1 if nobody has said
- * @param life when it started, in Unix milliseconds, as it says itself
- * @param incarnation counts how often it, or one who hears it, answered a suspicion in this life
- * @param sinceNanos when it came to this state here
- * @param by the name of who said so
- * @param heardNanos when its last message came here; 0 for never
+ * @param name the router name of the member, or its id in hexadecimal if the name is not known
+ * @param number the number in the list of peers; -1 if it is not known
+ * @param place the address at which the member is reached
+ * @param state the state of the member
+ * @param reach how this router knows that the member is alive
+ * @param life the start time of the member's process in Unix milliseconds, as announced by the member itself
+ * @param incarnation the number of refuted suspicions in this life, by the member itself or by a member that hears it
+ * @param sinceNanos the time at which the member entered its state in this router's view
+ * @param by the name of the router that reported the state
+ * @param heardNanos the time at which the last message of the member arrived here; 0 if none has arrived
  */
 public record MemberView(
         String name,
--- a/src/main/java/slateseam/tier/members/Members.java
+++ b/src/main/java/slateseam/tier/members/Members.java
@@ -18,28 +18,59 @@
 import slateseam.tier.members.Message.Verdict;
 
 /**
- * One router's view of the tier. It is told the time and datagrams, and tells its {@link MembersPort} what to send and what has changed. Not
- * thread-safe. The same settings, source of chance and calls give the same actions.
+ * One router's view of the tier, maintained by a SWIM-style gossip protocol: heartbeats to the routers that monitor
+ * this one, suspicion before failure, refutation by incarnation numbers, and anti-entropy by digests. The class does
+ * no I/O and reads no clock: the caller passes in the time and received datagrams, and the class tells its {@link
+ * MembersPort} which datagrams to send and what has changed in the view.
+ *
+ * <p>Not thread-safe. The same settings, random generator and calls give the same actions. All times are nanoseconds
+ * of Unix time unless the name says otherwise.
  */
 public final class Members {
-    /** More life than a day ahead of this router's clock is absurd, as is one who answered so many suspicions. */
+    /**
+     * A life (the start time of a process) that lies more than a day ahead of this router's clock is implausible, and
+     * so is an incarnation above {@link #MOST_INCARNATIONS}; datagrams and claims with such values are dropped.
+     */
     private static final long MOST_AHEAD_MILLIS = 86_400_000L;
 
+    /** The highest incarnation that is accepted. A router that reaches it starts a later life instead. */
     static final int MOST_INCARNATIONS = 1 << 30;
+
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000 * MILLI;
-    /** After a new life was heard messages of the old one are late for so long, and later a second process's. */
+    /**
+     * For this long after a new life was first heard, messages of the previous life count as delayed; after that they
+     * count as messages of a second process with the same name.
+     */
     private static final long LATE_NANOS = 3 * SECOND;
 
+    /** Messages of another process, in sequence, after which a duplicate name is reported. */
     private static final int TWICE_MESSAGES = 5;
+    /** The shortest time between two reports of the same duplicate name. */
     static final long TWICE_AGAIN_NANOS = 60 * SECOND;
+    /**
+     * Periods between two comparisons of the view with a random member, and between two probes of addresses that are
+     * not in the view.
+     */
     private static final int COMPARE_PERIODS = 5;
+    /** Periods between two introductions to a member that is already heard. */
     private static final int INTRODUCE_PERIODS = 10;
-    /** Messages in a row whose digest differs until parts are compared. */
+    /** Consecutive messages with a differing view digest after which the view is compared with the sender's. */
     private static final int DIFFERS = 3;
 
+    /**
+     * Limit on requests for an introduction, and on replies to such requests and to verdicts, in one period; it
+     * bounds the traffic that received datagrams can provoke.
+     */
     private static final int MOST_WHO_A_PERIOD = 5;
+    /**
+     * Additional members that a router contacts while it is in a minority or unheard, and when it shuts down.
+     */
     private static final int BESIDE = 2;
+    /**
+     * Messages in quick succession after which a failed member counts as alive again; a single message may be a
+     * delayed one.
+     */
     private static final int FRESH = 2;
 
     private final MembersSettings settings;
@@ -57,19 +88,24 @@
     private long now;
     private long nextPeriod;
     private long periods;
+    /** The requests and replies that {@link #MOST_WHO_A_PERIOD} still allows in this period. */
     private int whoLeft;
+    /** The position of the next probe in the list of addresses to probe. */
     private int probed;
-    /** To whom it has introduced itself last, whether or not they were heard since. */
+    /** The addresses that were probed most recently, whether or not they have answered. */
     private final Set<InetSocketAddress> introducedTo = new LinkedHashSet<>();
-    /** Whose digest was another for long. */
+    /** The members whose view digest has differed from this one's repeatedly; their views are compared next. */
     private final Set<Long> differing = new LinkedHashSet<>();
 
+    /** The issue that was last reported to the port. */
     private LocalHealthIssue told = LocalHealthIssue.NONE;
 
     /**
-     * Begins a life.
+     * Starts the membership of this router in a new life.
      *
-     * @param now in Unix time; its milliseconds are the life's number
+     * @param now Unix time in nanoseconds; its milliseconds identify the life
+     * @param random the source of all randomness
+     * @param sink receives the datagrams to send and the changes of the view
      */
     public Members(MembersSettings settings, long now, RandomGenerator random, MembersPort sink) {
         this.settings = settings;
@@ -107,7 +143,12 @@
         traffic.merge(what, more, Long::sum);
     }
 
-    /** Time goes on; to be called every 50 ms or so. */
+    /**
+     * Advances the clock: sends heartbeats that are due, updates the health of this router, and suspects or fails
+     * silent members. The caller calls this about every 50 ms.
+     *
+     * @param nanos Unix time in nanoseconds
+     */
     public void tick(long nanos) {
         now = nanos;
         if (left) {
@@ -133,6 +174,7 @@
         }
     }
 
+    /** Sends the heartbeats, probes and comparisons of one period. */
     private void period() {
         periods++;
         whoLeft = MOST_WHO_A_PERIOD;
@@ -160,7 +202,7 @@
         }
     }
 
-    /** Who watches this router, in the rings' order. */
+    /** Returns the ids of the routers that monitor this one, in the order of the rings. */
     private Set<Long> ownWatchers() {
         Set<Long> watchers = new LinkedHashSet<>();
         for (long id : roster.rings.watchers(self)) {
@@ -169,6 +211,7 @@
         return watchers;
     }
 
+    /** Returns a random present member; null if there is none. */
     private Member any() {
         int others = roster.present() - 1;
         int left = others == 0 ? 0 : random.nextInt(others);
@@ -180,7 +223,10 @@
         return null;
     }
 
-    /** Whoever is a suspect here is told so with each message, as others lose or overtake one another and it has little time to answer. */
+    /**
+     * Adds the suspicion of the recipient, if there is one, to the records. A suspect is informed in each message,
+     * because messages may be lost or overtake one another and the suspect has little time to refute.
+     */
     private List<Record> accused(Member to, Record... records) {
         List<Record> all = new ArrayList<>(List.of(records));
         if (to.state == State.SUSPECT) {
@@ -193,12 +239,17 @@
         boolean unknown = to.heardAt == 0 || periods % INTRODUCE_PERIODS == 0;
         send(to.place, Message.Kind.HEARTBEAT, unknown, accused(to), true);
         if (settings.toldPlaces() && to.toldPlace != null && !to.toldPlace.equals(to.place) && watch.isLate(to, now)) {
-            // Guards against two that moved, each of whom looks for the other where an old list has it.
+            // Two routers that both moved would otherwise look for each other at the addresses of an outdated list.
             send(to.toldPlace, Message.Kind.HEARTBEAT, true, List.of(), false);
         }
     }
 
-    /** Looks for those that may be there and are not in the view: in the list, or gone. */
+    /**
+     * Sends introductions to addresses of routers that may be running but are not in the view: configured peers, and
+     * members that failed or left.
+     *
+     * @param most the maximum number of addresses to contact
+     */
     private void probe(int most) {
         Map<InetSocketAddress, List<Record>> places = new LinkedHashMap<>();
         for (int i = 0; i < settings.peers().size(); i++) {
@@ -208,7 +259,8 @@
         }
         for (Member member : roster.all()) {
             if (member.state.isGone()) {
-                places.put(member.place, List.of(roster.record(member))); // so that it knows
+                // The record informs the member of the state in which this router holds it.
+                places.put(member.place, List.of(roster.record(member)));
                 if (member.number >= 0
                         && member.number < settings.peers().size()
                         && member.number != settings.number()) {
@@ -229,6 +281,7 @@
         }
     }
 
+    /** Keeps the address among the most recently probed ones, dropping the oldest beyond the limit. */
     private void remember(InetSocketAddress to) {
         introducedTo.remove(to);
         introducedTo.add(to);
@@ -237,6 +290,7 @@
         }
     }
 
+    /** Sends the digests of all parts of the view to a member and requests its digests in return. */
     private void compare(Member with) {
         if (with != null) {
             send(with.place, Message.Kind.COMPARE, false, parts.digests(), false, true);
@@ -247,6 +301,12 @@
         return new Introduction(self, own.life(), own.incarnation(), settings.number(), null, settings.name());
     }
 
+    /**
+     * Sends a message.
+     *
+     * @param introduces whether the message starts with this router's introduction
+     * @param news whether the remaining room is filled with updates from the gossip queue
+     */
     private void send(InetSocketAddress to, Message.Kind kind, boolean introduces, List<Record> records, boolean news) {
         send(to, kind, introduces, records, news, false);
     }
@@ -290,12 +350,19 @@
         sink.send(to, bytes);
     }
 
-    /** The first byte of all its datagrams, by which they are told from the ring's. */
+    /**
+     * Returns the first byte of all membership datagrams, which distinguishes them from the datagrams of the ring.
+     */
     public static byte firstByte() {
         return Message.MAGIC;
     }
 
-    /** A datagram came. */
+    /**
+     * Handles a received datagram.
+     *
+     * @param nanos Unix time in nanoseconds
+     * @param from the address of the sender
+     */
     public void heard(long nanos, InetSocketAddress from, byte[] datagram) {
         now = nanos;
         Message message;
@@ -324,6 +391,7 @@
         }
     }
 
+    /** Returns whether a life or an incarnation is outside the plausible range. */
     private boolean isAbsurd(long aLife, int anIncarnation) {
         return aLife <= 0
                 || aLife > now / MILLI + MOST_AHEAD_MILLIS
@@ -331,7 +399,10 @@
                 || anIncarnation > MOST_INCARNATIONS;
     }
 
-    /** Who sent it; null for strangers. */
+    /**
+     * Returns the sender of a message, adding it to the view if the message introduces it. Returns null for an
+     * unknown sender, which is asked to introduce itself.
+     */
     private Member sender(Message message, InetSocketAddress from) {
         Member known = roster.find(message.sender());
         for (Record record : message.records()) {
@@ -357,7 +428,10 @@
         return known;
     }
 
-    /** Whether it is not late or doubled, and of the life that is known or a later one. */
+    /**
+     * Returns whether a message is neither delayed nor duplicated and belongs to the known life of its sender or a
+     * later one.
+     */
     private boolean isNews(Member sender, Message message, InetSocketAddress from) {
         if (message.life() < sender.life) {
             count(Traffic.DROPPED_LATE, 1);
@@ -371,7 +445,10 @@
         return true;
     }
 
-    /** Messages of an earlier life that go on: a second process by that name, which is told of the first. */
+    /**
+     * Handles a message of an earlier life of its sender. If such messages continue, a second process is running
+     * under the same name; the process is informed of the newer life, and the duplicate name is reported.
+     */
     private void second(Member sender, Message message, InetSocketAddress from) {
         if (message.life() != sender.otherLife) {
             sender.otherLife = message.life();
@@ -400,6 +477,7 @@
         }
     }
 
+    /** Processes a new message of a known sender. */
     private void take(Member sender, Message message, InetSocketAddress from) {
         if (message.life() > sender.life) {
             roster.take(sender, message.life(), message.incarnation(), State.ALIVE, sender.id, now);
@@ -420,7 +498,7 @@
         } else if (sender.state == State.SUSPECT) {
             answerFor(sender, sender.incarnation);
         } else if (sender.state == State.FAILED) {
-            // One message may be late; one that lives goes on.
+            // A single message may have been delayed; a live process continues to send.
             sender.afresh = soon ? sender.afresh + 1 : 1;
             if (sender.afresh >= FRESH) {
                 answerFor(sender, sender.incarnation);
@@ -438,7 +516,7 @@
         }
         boolean alike = message.digest() == roster.digest();
         if (alike) {
-            doubt.unheard(false); // it sees what is seen here, this router's incarnation among it
+            doubt.unheard(false); // equal digests: the sender knows this router's current incarnation
         }
         sender.differs = alike ? 0 : sender.differs + 1;
         if (sender.differs >= DIFFERS) {
@@ -447,17 +525,20 @@
         }
     }
 
-    /** Somebody says something of this router. */
+    /** Handles a claim about this router. */
     private void about(long life, int incarnation, State state) {
         if (own.told(life, incarnation, state, now)) {
-            // At once: who is a suspect has little time.
+            // Sends the refutation at once, because a suspect has little time to answer.
             count(Traffic.REFUTATIONS, 1);
             nextPeriod = now;
             roster.news.add(self, introduction());
         }
     }
 
-    /** It is heard here, whatever others say: that overrides what they said. */
+    /**
+     * Refutes a claim about a member on the member's behalf, because this router hears it. The next higher
+     * incarnation overrides the claim.
+     */
     private void answerFor(Member member, int above) {
         if (above < MOST_INCARNATIONS) {
             count(Traffic.REFUTATIONS, 1);
@@ -465,6 +546,7 @@
         }
     }
 
+    /** Processes one record of a message. */
     private void take(Member sender, Record record) {
         if (record instanceof Introduction said) {
             if (said.id() == self) {
@@ -491,12 +573,14 @@
         }
     }
 
+    /** Handles a claim about another member. */
     private void claimed(Member sender, Claim claim) {
         Member member = roster.find(claim.id());
         if (member == null || !member.isOlderThan(claim.life(), claim.incarnation(), claim.state())) {
             return;
         }
-        // A suspicion is taken, and its next message here answers it: what came before may have been its last.
+        // A suspicion is accepted even if the member was heard just now, since that message may have been its last. The
+        // next message of the member refutes the suspicion.
         if (claim.state() == State.FAILED && claim.life() == member.life && watch.heardNow(member, now)) {
             answerFor(member, claim.incarnation());
         } else {
@@ -510,6 +594,9 @@
         }
     }
 
+    /**
+     * Answers a comparison with the records of the parts that differ, and with digests if the sender requested them.
+     */
     private void answerCompared(Member sender, Message message) {
         for (List<Record> answer : parts.answers(message, introduction())) {
             send(sender.place, Message.Kind.HEARTBEAT, false, answer, false);
@@ -519,7 +606,11 @@
         }
     }
 
-    /** This router ends: says so to those who watch it, and nothing more. */
+    /**
+     * Announces the shutdown of this router to the routers that monitor it and stops sending.
+     *
+     * @param nanos Unix time in nanoseconds
+     */
     public void leave(long nanos) {
         now = nanos;
         if (!left) {
@@ -533,8 +624,9 @@
     }
 
     /**
-     * Its watchers, some others, and those to whom it has introduced itself. Guards against one that ends before it has
-     * heard anybody: the others have heard it, and would take it for failed.
+     * Returns the addresses to which a shutdown is announced: the routers that monitor this one, some other members,
+     * and the addresses probed recently. A router that shuts down before it has heard any other would otherwise be
+     * declared failed by the routers that have already heard it.
      */
     private Set<InetSocketAddress> placesToldOfAnEnd() {
         Set<Long> members = ownWatchers();
@@ -551,27 +643,36 @@
         return places;
     }
 
-    /** Why this router does not trust its view; none if it does. */
+    /**
+     * Returns the reason for which this router distrusts its view; {@link LocalHealthIssue#NONE} if it trusts the
+     * view.
+     */
     public LocalHealthIssue doubt() {
         return doubt.now();
     }
 
-    /** The life that it is in, in Unix milliseconds. */
+    /**
+     * Returns the current life of this router: its start time in Unix milliseconds, raised if an earlier process of
+     * the same name had a later one.
+     */
     public long life() {
         return own.life();
     }
 
-    /** Whether another process goes by its name. */
+    /** Returns whether another process with the same router name has been detected. */
     public boolean isTwice() {
         return own.isTwice();
     }
 
-    /** What was counted since the start. */
+    /** Returns the value of a counter since the start. */
     public long count(Traffic what) {
         return traffic.getOrDefault(what, 0L);
     }
 
-    /** All others, by name; those that have gone until they are forgotten. */
+    /**
+     * Returns all other members in the order of their names, including members that failed or left until they are
+     * forgotten.
+     */
     public List<MemberView> view() {
         Map<String, MemberView> views = new TreeMap<>();
         for (Member member : roster.all()) {
@@ -598,22 +699,29 @@
         return List.copyOf(views.values());
     }
 
-    /** The numbers of those that are there, this router among them; the same object until that changes. */
+    /**
+     * Returns the peer numbers of the present members, including this router. The same object is returned until the
+     * set changes.
+     */
     public Set<Integer> numbers() {
         return roster.numbers();
     }
 
-    /** A digest of who is there; the same at all routers that see the same. */
+    /** Returns a digest of the present members, which is equal on all routers with the same view. */
     public int digest() {
         return roster.digest();
     }
 
-    /** How many are there, this router among them. */
+    /** Returns the number of present members, including this router. */
     public int present() {
         return roster.present();
     }
 
-    /** Whether it watches a member and hears nothing of it now. */
+    /**
+     * Returns whether this router monitors a member and currently finds it silent.
+     *
+     * @param name the router name of the member
+     */
     public boolean isSilent(String name) {
         Member member = roster.find(Ids.of(name));
         return member != null && watch.subjects().contains(member) && watch.isSilent(member, now);
--- a/src/main/java/slateseam/tier/members/MembersPort.java
+++ b/src/main/java/slateseam/tier/members/MembersPort.java
@@ -2,11 +2,11 @@
 
 import java.net.InetSocketAddress;
 
-/** Takes what a router is to do. */
+/** Receives the actions of {@link Members}: datagrams to send and changes of the view. */
 public interface MembersPort {
-    /** Send a datagram. */
+    /** Sends a datagram. */
     void send(InetSocketAddress to, byte[] datagram);
 
-    /** The view has changed. */
+    /** Reports a change of the view. */
     void changed(Change change);
 }
--- a/src/main/java/slateseam/tier/members/Message.java
+++ b/src/main/java/slateseam/tier/members/Message.java
@@ -12,18 +12,31 @@
 import java.util.zip.CRC32C;
 
 /**
- * A datagram between routers of the tier, of at most 256 bytes. Its first byte tells it from the ring's.
+ * A membership datagram between routers of the tier, of at most 256 bytes. Its first byte distinguishes it from the
+ * datagrams of the ring.
  *
  * <pre>
  * 0  magic 0xB7      1  version 1      2  kind      3  flags
- * 4  CRC-32C of all that follows byte 8
+ * 4  CRC-32C of bytes 0 to 3 and of all bytes from 8 on
  * 8  tier, 4 bytes of a hash of its name
  * 12 sender, 8 bytes of a hash of its name
- * 20 its life, Unix milliseconds       28 its incarnation      32 sequence
- * 36 digest of who is there, as it sees it
- * 40 which part of those that it and others watch is silent, 0 to 255
+ * 20 life of the sender, Unix milliseconds       28 incarnation of the sender      32 sequence
+ * 36 digest of the present members in the view of the sender
+ * 40 silent fraction of the tier as observed by the sender and its peers, 0 to 255
  * 41 records: kind, then its fields
  * </pre>
+ *
+ * @param kind the purpose of the message
+ * @param doubts whether the sender distrusts its own view
+ * @param asks whether the sender requests digests in return
+ * @param tier the hash of the tier's name
+ * @param sender the id of the sender
+ * @param life the start time of the sender's process in Unix milliseconds
+ * @param incarnation the incarnation of the sender
+ * @param sequence the number of the message in the life of the sender
+ * @param digest the digest of the present members in the view of the sender
+ * @param silent the fraction of the tier that is silent for the sender, in units of 1/255
+ * @param records the payload
  */
 record Message(
         Kind kind,
@@ -41,29 +54,39 @@
     static final byte MAGIC = (byte) 0xb7;
     private static final byte VERSION = 1;
     static final int HEADER_BYTES = 41;
+    /** The offset after the checksum; the bytes from here to the end are part of the checksum. */
     private static final int CHECKED_AT = 8;
+    /** The bit of the flags for {@link #doubts}. */
     private static final int DOUBTS = 1;
+    /** The bit of the flags for {@link #asks}. */
     private static final int ASKS = 2;
 
+    /** The purpose of a message; the ordinal is written to the wire. */
     enum Kind {
-        /** It is there. */
+        /** The sender is alive. */
         HEARTBEAT,
-        /** Parts of who is there are compared: the records are digests of parts. */
+        /** Anti-entropy: the records are digests of the parts of the sender's view. */
         COMPARE,
-        /** Somebody who was not known was heard: let it introduce itself. */
+        /** The sender received a message of an unknown router and requests its introduction. */
         WHO,
-        /** It ends. */
+        /** The sender is shutting down. */
         LEAVE
     }
 
-    /** What a message carries. */
+    /** An element of the payload of a message. */
     sealed interface Record {
+        /** Returns the encoded length in bytes. */
         int bytes();
 
+        /** Appends the encoded record to a buffer. */
         void put(ByteBuffer out);
     }
 
-    /** A member is in a state, at an incarnation of a life; says somebody. */
+    /**
+     * A claim that a member is in a state at an incarnation of a life.
+     *
+     * @param by the id of the router that made the claim
+     */
     record Claim(long id, long life, int incarnation, State state, long by) implements Record {
         static final int BYTES = 1 + 8 + 8 + 4 + 1 + 8;
 
@@ -83,7 +106,12 @@
         }
     }
 
-    /** Who a member is and where it listens; it is alive. */
+    /**
+     * The name and address of a member, which claims that the member is alive.
+     *
+     * @param number the number in the list of peers; -1 if it is not known
+     * @param place the address of the member; null in an introduction of the sender, whose address is the datagram's
+     */
     record Introduction(long id, long life, int incarnation, int number, InetSocketAddress place, String name)
             implements Record {
         private static final int FIXED = 1 + 8 + 8 + 4 + 2 + 1 + 2 + 1;
@@ -112,7 +140,7 @@
         }
     }
 
-    /** Whether the sender hears a member that it watches. */
+    /** The verdict of the sender on a member that it monitors: whether the sender hears the member. */
     record Verdict(long id, long life, int incarnation, Ear ear) implements Record {
         static final int BYTES = 1 + 8 + 8 + 4 + 1;
 
@@ -127,7 +155,7 @@
         }
     }
 
-    /** A digest of the members of a part. */
+    /** The digest of one part of the sender's view. */
     record PartDigest(int part, int digest) implements Record {
         static final int BYTES = 1 + 1 + 4;
 
@@ -142,17 +170,19 @@
         }
     }
 
-    /** What one who watches says of whom it watches. */
+    /** The answer of a router to whether it hears a member; the ordinal is written to the wire. */
     enum Ear {
-        /** It hears it. */
+        /** The router receives messages of the member. */
         HEARS,
-        /** It hears nothing of it. */
+        /** The router receives nothing from the member. */
         SILENT,
-        /** It hears nothing of it, but doubts itself. */
+        /** The router receives nothing from the member, but distrusts its own view. */
         UNSURE
     }
 
-    /** Why a datagram was dropped. */
+    /**
+     * Reports that a datagram is malformed; the message names the field that is wrong. No stack trace is recorded.
+     */
     static final class BadMessageException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -165,7 +195,7 @@
         records = List.copyOf(records);
     }
 
-    /** Whether a datagram is one of these, by its first byte. */
+    /** Returns whether a datagram is a membership message, judged by its first byte. */
     static boolean isOne(byte[] datagram) {
         return datagram.length > 0 && datagram[0] == MAGIC;
     }
@@ -189,7 +219,7 @@
         return out.putInt(4, checksum(out.array())).array();
     }
 
-    /** All but the checksum itself, the kind and flags among it. */
+    /** Computes the checksum of all bytes except the checksum itself. */
     private static int checksum(byte[] bytes) {
         CRC32C sum = new CRC32C();
         sum.update(bytes, 0, 4);
--- a/src/main/java/slateseam/tier/members/Parts.java
+++ b/src/main/java/slateseam/tier/members/Parts.java
@@ -9,8 +9,12 @@
 import slateseam.tier.members.Message.PartDigest;
 import slateseam.tier.members.Message.Record;
 
-/** Compares views by digests of their parts, so that what messages lost is found and only what differs is sent. */
+/**
+ * Anti-entropy: compares views by digests of their parts, so that updates that were lost are found and only the parts
+ * that differ are sent.
+ */
 final class Parts {
+    /** Limit on the datagrams that answer one comparison. */
     private static final int MOST_ANSWERS = 4;
 
     private final long self;
@@ -23,7 +27,7 @@
         this.random = random;
     }
 
-    /** Of this router's view. */
+    /** Returns the digests of all parts of this router's view. */
     List<Record> digests() {
         List<Record> digests = new ArrayList<>();
         for (int part = 0; part < Roster.PARTS; part++) {
@@ -32,18 +36,24 @@
         return digests;
     }
 
+    /** Returns whether a record is the digest of a part that differs from the part here. */
     private boolean differs(Record record) {
         return record instanceof PartDigest theirs
                 && theirs.part() < Roster.PARTS
                 && theirs.digest() != roster.digest(theirs.part());
     }
 
-    /** Whether a part of another's view is not as it is here. */
+    /** Returns whether any part of another router's view differs from the part here. */
     boolean differ(Message theirs) {
         return theirs.records().stream().anyMatch(this::differs);
     }
 
-    /** What this router knows of the parts that differ, a few datagrams at most; its own entry first, if it lies in one. */
+    /**
+     * Returns this router's records of the parts that differ, packed into a limited number of datagrams. The entry of
+     * this router comes first if its part differs.
+     *
+     * @param own the introduction of this router
+     */
     List<List<Record>> answers(Message theirs, Introduction own) {
         List<Member> known = new ArrayList<>();
         boolean ownToo = false;
@@ -55,13 +65,14 @@
                 known.addAll(members.get(part));
             }
         }
-        // Begins anywhere, so that in some answers all has been told.
+        // Starts at a random member, so that repeated answers cover all members although each answer is limited.
         int at = known.isEmpty() ? 0 : random.nextInt(known.size());
         Collections.rotate(known, -at);
         Stream<Record> records = known.stream().map(roster::record);
         return packed(ownToo ? Stream.concat(Stream.of(own), records) : records);
     }
 
+    /** Returns the members of each part. */
     private List<List<Member>> byPart() {
         List<List<Member>> parts = new ArrayList<>();
         for (int part = 0; part < Roster.PARTS; part++) {
@@ -73,6 +84,7 @@
         return parts;
     }
 
+    /** Distributes records over datagrams in order and drops the records beyond the limit. */
     private static List<List<Record>> packed(Stream<Record> all) {
         List<List<Record>> datagrams = new ArrayList<>();
         int room = 0;
--- a/src/main/java/slateseam/tier/members/Reach.java
+++ b/src/main/java/slateseam/tier/members/Reach.java
@@ -2,16 +2,16 @@
 
 import java.util.Locale;
 
-/** How a router knows of a member. */
+/** How a router knows that a member is alive. */
 public enum Reach {
-    /** Its messages arrive here. */
+    /** Messages of the member arrive at this router. */
     DIRECT,
-    /** Others hear it. */
+    /** Messages of the member do not arrive here, but other members hear it. */
     BY_OTHERS,
-    /** Nobody that is heard here hears it. */
+    /** No member that this router hears receives messages of the member. */
     NOT_HEARD;
 
-    /** As tables and logs name it. */
+    /** Returns the name used in tables and logs. */
     public String word() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/src/main/java/slateseam/tier/members/Rings.java
+++ b/src/main/java/slateseam/tier/members/Rings.java
@@ -9,34 +9,42 @@
 import java.util.Set;
 
 /**
- * Who watches whom: on each of some rings, each with an order of its own, a member is watched by the next one that does not watch it
- * already. Where there are no more others than rings, all others watch it. All who see the same members see the same watchers.
+ * Assigns to each member the members that monitor it (its watchers). There are several rings, each with its own order
+ * of the members. On each ring, a member is watched by its next successor that does not watch it on an earlier ring.
+ * If there are no more other members than rings, every member is watched by all others. Routers with the same set of
+ * members compute the same assignment.
  */
 final class Rings {
     private final List<Ring> rings = new ArrayList<>();
-    /** Watchers that were worked out since the rings changed last. */
+    /** The watchers computed since the rings last changed, by the id of the watched member. */
     private final Map<Long, long[]> known = new HashMap<>();
 
     private int version;
 
-    /** One ring: its members in ascending order of their places, which are compared without a sign. */
+    /** One ring: the members in ascending order of their positions, which are compared as unsigned numbers. */
     private static final class Ring {
         private static final int FIRST_CAPACITY = 16;
 
+        /** The positions with the sign bit flipped, ascending. */
         private long[] places = new long[FIRST_CAPACITY];
+
         private long[] ids = new long[FIRST_CAPACITY];
         private int size;
 
-        /** The flipped sign makes the usual order of longs the unsigned one. */
+        /** Flips the sign bit, which makes the signed order of longs the unsigned order of the positions. */
         private static long key(long place) {
             return place ^ Long.MIN_VALUE;
         }
 
-        /** Where a place is; as {@link Arrays#binarySearch} if it is not there. */
+        /**
+         * Returns the index of a position, or the result of {@link Arrays#binarySearch} for its insertion point if it
+         * is absent.
+         */
         private int find(long place) {
             return Arrays.binarySearch(places, 0, size, key(place));
         }
 
+        /** Adds a member at a position; returns false if the position is occupied. */
         boolean add(long place, long id) {
             int found = find(place);
             if (found >= 0) {
@@ -55,6 +63,7 @@
             return true;
         }
 
+        /** Removes the member at a position; returns false if there is none. */
         boolean remove(long place) {
             int at = find(place);
             if (at < 0) {
@@ -66,13 +75,13 @@
             return true;
         }
 
-        /** The index of the first one behind a place, from the start again behind the last. */
+        /** Returns the index of the first member after a position, wrapping around at the end. */
         int after(long place) {
             int found = find(place);
             return next(found >= 0 ? found : -found - 2);
         }
 
-        /** The index of the last one before a place, from the end again before the first. */
+        /** Returns the index of the last member before a position, wrapping around at the start. */
         int before(long place) {
             int found = find(place);
             return previous(found >= 0 ? found : -found - 1);
@@ -116,17 +125,20 @@
         }
     }
 
-    /** Changes whenever who watches whom may have changed. */
+    /** Returns a number that changes whenever the assignment of watchers may have changed. */
     int version() {
         return version;
     }
 
-    /** How many there are. */
+    /** Returns the number of members. */
     int size() {
         return rings.get(0).size;
     }
 
-    /** Who watches it, in the rings' order; not to be changed. */
+    /**
+     * Returns the ids of the members that watch a member, in the order of the rings. The caller must not modify the
+     * array.
+     */
     long[] watchers(long id) {
         return known.computeIfAbsent(id, this::find);
     }
@@ -158,13 +170,15 @@
         return false;
     }
 
-    /** Whom it watches. */
+    /** Returns the ids of the members that a member watches. */
     Set<Long> subjects(long id) {
         Set<Long> subjects = new LinkedHashSet<>();
         for (int i = 0; i < rings.size(); i++) {
             Ring ring = rings.get(i);
             int at = ring.before(Ids.on(i, id));
-            // One further back than all rings could have skipped it does not reach it any more.
+            // A member skips at most one watcher for each earlier ring, so members further back cannot be watched by
+            // this
+            // one.
             for (int steps = 0; steps < Math.min(size() - 1, rings.size() + 1); steps++) {
                 long before = ring.ids[at];
                 long[] watchers = before == id ? new long[0] : watchers(before);
--- a/src/main/java/slateseam/tier/members/Roster.java
+++ b/src/main/java/slateseam/tier/members/Roster.java
@@ -16,13 +16,22 @@
 import slateseam.tier.members.Message.Introduction;
 import slateseam.tier.members.Message.Record;
 
-/** All members that this router knows of, and what became of them; this one's own entry is not among them. */
+/**
+ * All other members that this router knows of, with their states. This router itself is on the rings and in the
+ * digests, but has no entry of its own.
+ */
 final class Roster {
+    /**
+     * The number of parts into which the ids are divided for anti-entropy; a part is given by the upper four bits of
+     * the id.
+     */
     static final int PARTS = 16;
+
     private static final int PART_SHIFT = Long.SIZE - 4;
+    /** Limit on the tombstones that are kept; the oldest are dropped first. */
     private static final int MOST_FORGOTTEN = MembersSettings.MOST;
 
-    /** One that was forgotten: what it says of a life that was over is not believed. */
+    /** What is kept of a forgotten member, so that outdated claims about its last life do not bring it back. */
     private record Tombstone(long life, int sequence) {}
 
     private final MembersSettings settings;
@@ -37,17 +46,27 @@
             return size() > MOST_FORGOTTEN;
         }
     };
-    /** Those that failed or left and are not forgotten. */
+    /** The members that failed or left and are not forgotten yet. */
     private final Set<Member> gone = new LinkedHashSet<>();
 
+    /** The number of suspect members. */
     private int suspects;
-    /** The numbers of those that are there; null if they are to be worked out anew, as at another version of the rings. */
+    /**
+     * The peer numbers of the present members; null or outdated (see {@link #numbersVersion}) if they must be
+     * computed again.
+     */
     private Set<Integer> numbers;
 
+    /** The version of the rings for which {@link #numbers} was computed. */
     private int numbersVersion;
+
     final Rings rings;
     final GossipQueue news = new GossipQueue();
+    /**
+     * The digest of the present members of each part: the XOR of a hash of each member's id, life and incarnation.
+     */
     private final int[] digests = new int[PARTS];
+    /** Whether the rejection of a member for lack of room has been reported. */
     private boolean full;
 
     Roster(MembersSettings settings, long self, MembersPort sink) {
@@ -58,15 +77,17 @@
         rings.add(self);
     }
 
+    /** Returns a member by its id; null if it is not known. */
     Member find(long id) {
         return members.get(id);
     }
 
+    /** Returns all known members, including those that failed or left. */
     Collection<Member> all() {
         return members.values();
     }
 
-    /** Its name, or its number if it has not said. */
+    /** Returns the name of a member, or its id in hexadecimal if the name is not known. */
     String name(long id) {
         Member member = members.get(id);
         return id == self
@@ -74,15 +95,17 @@
                 : member != null && member.name != null ? member.name : Long.toHexString(id);
     }
 
+    /** Returns the part to which an id belongs. */
     static int part(long id) {
         return (int) (id >>> PART_SHIFT);
     }
 
-    /** Of those that are there, in a part. */
+    /** Returns the digest of the present members of a part. */
     int digest(int part) {
         return digests[part];
     }
 
+    /** Returns the digest of all present members. */
     int digest() {
         int all = 0;
         for (int digest : digests) {
@@ -91,7 +114,10 @@
         return all;
     }
 
-    /** Brings one that is there into the digests, or takes it out again. */
+    /**
+     * Adds a member at a life and incarnation to the digest of its part, or removes it if it is already included: the
+     * operation is its own inverse.
+     */
     void fold(long id, long life, int incarnation) {
         digests[part(id)] ^= (int) Ids.mix(Ids.mix(id ^ life) + incarnation);
     }
@@ -102,7 +128,15 @@
         }
     }
 
-    /** Somebody says of himself, or of another, that it is there; null if it is not believed. */
+    /**
+     * Handles an introduction and adds the member to the view if it is new.
+     *
+     * @param by the id of the router that sent the introduction
+     * @param itself whether the member introduces itself
+     * @param from the address of the sender if the member introduces itself, otherwise null
+     * @return the member, or null if the introduction is rejected: the name does not match the id, the introduction
+     *     is outdated, or the view is full
+     */
     Member introduced(Introduction said, long by, boolean itself, InetSocketAddress from, long now) {
         Member member = members.get(said.id());
         if (member != null) {
@@ -137,7 +171,7 @@
         member.since = now;
         member.by = by;
         if (over != null && said.life() <= over.life) {
-            member.sequence = over.sequence; // what was sent before it was forgotten does not bring it back
+            member.sequence = over.sequence; // messages sent before the member was forgotten count as delayed
         }
         members.put(said.id(), member);
         rings.add(said.id());
@@ -147,22 +181,29 @@
         return member;
     }
 
+    /** Returns the introduction of a member as this router knows it. */
     Introduction introduction(Member member) {
         return new Introduction(member.id, member.life, member.incarnation, member.number, member.place, member.name);
     }
 
-    /** What tells others of a member as it is now. */
+    /** Returns the record that informs others of the current state of a member. */
     Record record(Member member) {
         return member.state == State.ALIVE && member.name != null
                 ? introduction(member)
                 : new Claim(member.id, member.life, member.incarnation, member.state, member.by);
     }
 
+    /** Returns the cause of a change in the form used by {@link Change#why}. */
     private String why(Member member) {
         return "life=" + member.life + " incarnation=" + member.incarnation + " by=" + name(member.by);
     }
 
-    /** Takes what is said of a member if it is newer than what is known; whether it was. */
+    /**
+     * Applies a claim about a member if the claim supersedes the known state.
+     *
+     * @param by the id of the router that made the claim
+     * @return whether the claim was applied
+     */
     boolean take(Member member, long life, int incarnation, State state, long by, long now) {
         if (!member.isOlderThan(life, incarnation, state)) {
             return false;
@@ -203,6 +244,7 @@
         return true;
     }
 
+    /** Reports a change of a member's state or life to the port. */
     private void tell(Member member, State was, boolean anew) {
         if (was == member.state && !anew) {
             return;
@@ -216,7 +258,7 @@
         sink.changed(new Change(kind, name(member.id), member.number, why(member) + " before=" + was.word()));
     }
 
-    /** Forgets those that have been gone for long. */
+    /** Removes the members that failed or left longer ago than the retention period. */
     void forget(long now) {
         if (gone.isEmpty()) {
             return;
@@ -237,7 +279,7 @@
         }
     }
 
-    /** The numbers of those that are there, this router's own among them. */
+    /** Returns the peer numbers of the present members, including this router. */
     Set<Integer> numbers() {
         if (numbers == null || numbersVersion != rings.version()) {
             Set<Integer> found = new HashSet<>(Set.of(settings.number()));
@@ -252,22 +294,25 @@
         return numbers;
     }
 
-    /** How many are suspects. */
+    /** Returns the number of suspect members. */
     int suspects() {
         return suspects;
     }
 
-    /** Those that failed or left and are not forgotten. */
+    /** Returns the members that failed or left and are not forgotten yet. */
     Collection<Member> gone() {
         return gone;
     }
 
-    /** How many are there, this router among them. */
+    /** Returns the number of present members, including this router. */
     int present() {
         return rings.size();
     }
 
-    /** Who watches a member, without those that are suspects themselves and without {@code but}. */
+    /**
+     * Returns the ids of the routers that monitor a member, except those that are suspect themselves and except
+     * {@code but}.
+     */
     Set<Long> watchers(long id, long but) {
         Set<Long> watchers = new LinkedHashSet<>();
         for (long watcher : rings.watchers(id)) {
--- a/src/main/java/slateseam/tier/members/SelfState.java
+++ b/src/main/java/slateseam/tier/members/SelfState.java
@@ -2,13 +2,19 @@
 
 import slateseam.tier.members.Change.Kind;
 
-/** This router's own name in the tier: which life and incarnation of it this is, and what others say of it. */
+/**
+ * The identity of this router in the tier: its life and incarnation, and the handling of claims that others make
+ * about it.
+ */
 final class SelfState {
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000 * MILLI;
-    /** After its start a router may still take a later life than its clock gave it. */
+    /**
+     * For this long after its start, a router may replace its life by a later one than its clock gave. An earlier
+     * process of the same name may have had a clock that was ahead.
+     */
     private static final long YOUNG_NANOS = 3 * SECOND;
-    /** An answer to a suspicion should have come to all by then. */
+    /** The time in which a refutation should have reached all members. */
     private static final long UNHEARD_NANOS = 2 * SECOND;
 
     private final MembersSettings settings;
@@ -20,14 +26,21 @@
     private long life;
     private int incarnation;
     private int sequence;
-    /** When it last answered a suspicion of itself. */
+    /** The time of the last refutation of a suspicion of this router. */
     private long answeredAt;
 
+    /** Whether the life has been replaced by a later one since the start. */
     private boolean raised;
+    /** Whether another process with the same name has been detected. */
     private boolean twice;
+    /** The time at which the duplicate name was last reported; 0 if it has not been reported. */
     private long twiceToldAt;
 
-    /** Begins a life: the milliseconds of its start. */
+    /**
+     * Starts a new life, identified by the milliseconds of its start.
+     *
+     * @param now Unix time in nanoseconds
+     */
     SelfState(MembersSettings settings, long self, long now, Roster roster, LocalHealth doubt, MembersPort sink) {
         this.settings = settings;
         this.self = self;
@@ -39,27 +52,35 @@
         roster.fold(self, life, incarnation);
     }
 
+    /** Returns the current life in Unix milliseconds. */
     long life() {
         return life;
     }
 
+    /** Returns the current incarnation. */
     int incarnation() {
         return incarnation;
     }
 
-    /** The number of the next message. */
+    /** Returns the sequence number of the next message. */
     int next() {
         return ++sequence;
     }
 
+    /** Returns whether another process with the same name has been detected. */
     boolean isTwice() {
         return twice;
     }
 
-    /** Takes what others say of it; whether that was a suspicion that it answers now, as a later incarnation. */
+    /**
+     * Handles a claim about this router.
+     *
+     * @return whether the claim was a suspicion or a failure that this router now refutes with a later incarnation or
+     *     life
+     */
     boolean told(long ofLife, int anIncarnation, State state, long now) {
         if (ofLife != life) {
-            // They do not know this life, though it has been told for long.
+            // The claiming router does not know this life, although it has been announced for long enough.
             if (ofLife < life && state.isGone() && now - startedAt > UNHEARD_NANOS) {
                 doubt.unheard(true);
             }
@@ -68,7 +89,7 @@
             is(life, anIncarnation);
             doubt.unheard(false);
         } else if (state.isGone() && anIncarnation < incarnation && now - answeredAt > UNHEARD_NANOS) {
-            doubt.unheard(true); // what it answered has not come to anybody
+            doubt.unheard(true); // the refutation has not reached the other members
         } else if (state != State.ALIVE && anIncarnation >= incarnation) {
             answeredAt = now;
             if (state.isGone()) {
@@ -84,14 +105,23 @@
         return false;
     }
 
-    /** A message came by its own name. */
+    /**
+     * Handles a message that was sent under this router's own name.
+     *
+     * @param ofLife the life in the message
+     */
     void spokenBy(long ofLife, long now) {
         other(ofLife, State.ALIVE, true, now);
     }
 
-    /** Another life by its name: an earlier one of a clock that was ahead, or another process. */
+    /**
+     * Handles a different life under this router's name: either an earlier process whose clock was ahead, or a second
+     * process that is still running.
+     *
+     * @param speaks whether the other life itself sent a message, as opposed to a claim by another router
+     */
     private void other(long ofLife, State state, boolean speaks, long now) {
-        boolean over = state.isGone(); // whoever lived it is there no longer
+        boolean over = state.isGone(); // the process of that life has ended
         if (ofLife > life && (over || !raised && now - startedAt < YOUNG_NANOS)) {
             raised = true;
             lives(ofLife + 1);
@@ -105,12 +135,13 @@
         }
     }
 
+    /** Continues in a later life. */
     private void lives(long later) {
         is(later, 0);
         sequence = 0;
     }
 
-    /** The digest of who is there has this router's own life and incarnation in it. */
+    /** Sets the life and incarnation and updates the digest of the present members, which includes them. */
     private void is(long aLife, int anIncarnation) {
         roster.fold(self, life, incarnation);
         life = aLife;
--- a/src/main/java/slateseam/tier/members/State.java
+++ b/src/main/java/slateseam/tier/members/State.java
@@ -2,23 +2,26 @@
 
 import java.util.Locale;
 
-/** What a member is; at the same life and incarnation a later one of these overrides an earlier. */
+/**
+ * The state of a member. At the same life and incarnation, a claim with a later constant overrides one with an
+ * earlier constant. The ordinal is written to the wire.
+ */
 public enum State {
-    /** Somebody hears it. */
+    /** At least one member hears it. */
     ALIVE,
-    /** Those who watch it hear nothing of it, and it has not answered that yet. */
+    /** The routers that monitor the member hear nothing from it, and the suspicion has not been refuted yet. */
     SUSPECT,
-    /** It has not answered in time. */
+    /** The suspicion was not refuted in time. */
     FAILED,
-    /** It said that it ends. */
+    /** The member announced its shutdown. */
     LEFT;
 
-    /** Whether it is in the tier no longer. */
+    /** Returns whether the member is no longer part of the tier. */
     public boolean isGone() {
         return this == FAILED || this == LEFT;
     }
 
-    /** As figures and logs name it. */
+    /** Returns the name used in metrics and logs. */
     public String word() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/slateseam/tier/members/Traffic.java
+++ b/src/main/java/slateseam/tier/members/Traffic.java
@@ -2,28 +2,30 @@
 
 import java.util.Locale;
 
-/** What a router counts of its part in the tier. */
+/** The counters of the membership protocol. */
 public enum Traffic {
     /** Datagrams sent. */
     SENT,
-    /** Their bytes. */
+    /** Bytes of the datagrams sent. */
     SENT_BYTES,
-    /** Datagrams taken. */
+    /** Datagrams accepted and processed. */
     TAKEN,
-    /** Those that cannot be read: damaged, or of another version. */
+    /** Datagrams dropped because they are damaged or have another version. */
     DROPPED_UNREADABLE,
-    /** Those of another tier, or of somebody unknown who does not say who he is. */
+    /**
+     * Datagrams dropped because they belong to another tier or come from an unknown router without an introduction.
+     */
     DROPPED_STRANGER,
-    /** Those that come twice, late, or of an earlier life. */
+    /** Datagrams dropped because they are duplicated, delayed or from an earlier life. */
     DROPPED_LATE,
-    /** Those that claim what cannot be. */
+    /** Datagrams and claims dropped because their life or incarnation is implausible. */
     DROPPED_ABSURD,
-    /** Suspicions that this router began. */
+    /** Suspicions raised by this router. */
     SUSPICIONS,
-    /** Suspicions that it answered, of itself or for another. */
+    /** Suspicions refuted by this router, of itself or on behalf of another member. */
     REFUTATIONS;
 
-    /** As figures name it. */
+    /** Returns the name used in metrics. */
     public String word() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/slateseam/tier/members/Watch.java
+++ b/src/main/java/slateseam/tier/members/Watch.java
@@ -9,34 +9,38 @@
 import slateseam.tier.members.Message.Verdict;
 
 /**
- * Those whom this router watches. Silence alone accuses nobody: who hears nothing of a member asks the others that watch it, and one
- * who hears it is believed by all. A member is suspected once most of those that watch it, and are not suspects themselves, hear
- * nothing of it; it has failed if then nobody answers for it.
+ * The failure detector for the members that this router monitors. Silence towards one router is not enough for a
+ * suspicion: a router that hears nothing from a member asks the other routers that monitor the member, and a single
+ * router that hears the member is believed. A member becomes suspect once most of the routers that monitor it, not
+ * counting suspects, hear nothing from it; the member is declared failed if nobody refutes the suspicion in time.
  */
 final class Watch {
-    /** Periods after which other watchers that say nothing are no longer waited for. */
-    /** Of one member: others whose last word on whether they hear it is kept. */
+    /** Limit on the routers whose last verdict on one member is kept. */
     private static final int MOST_EARS = 1_024;
 
+    /** Periods of silence after which missing verdicts of other routers are no longer awaited. */
     private static final int UNANSWERED = 3;
-    /** Periods for which a verdict holds; it is said again each period. */
+    /** Periods for which a verdict is valid; verdicts are repeated each period. */
     private static final int HOLDS = 3;
 
+    /** Periods of silence after which a member is late, whatever its usual gaps are. */
     private static final int LATE = 4;
 
     private final MembersSettings settings;
     private final long self;
     private final Roster roster;
     private final BiConsumer<Member, Verdict> tell;
+    /** The members that this router monitors, for version {@link #seen} of the rings. */
     private List<Member> subjects = new ArrayList<>();
+
     private int seen = -1;
-    /** Of the last look. */
+    /** The time of the last check of all monitored members. */
     private long time;
 
     /**
-     * Creates it.
+     * Creates a failure detector.
      *
-     * @param tell sends a verdict to another watcher
+     * @param tell sends a verdict to a member
      */
     Watch(MembersSettings settings, long self, Roster roster, BiConsumer<Member, Verdict> tell) {
         this.settings = settings;
@@ -45,7 +49,7 @@
         this.tell = tell;
     }
 
-    /** Those whom this router watches now. */
+    /** Returns the members that this router monitors now. */
     List<Member> subjects() {
         if (seen != roster.rings.version()) {
             seen = roster.rings.version();
@@ -53,7 +57,7 @@
             for (long id : roster.rings.subjects(self)) {
                 Member member = roster.find(id);
                 if (member != null) {
-                    // Guards against one that is accused for the time in which nobody here listened for it.
+                    // A newly monitored member is not held responsible for its silence before the monitoring started.
                     member.watchedSince =
                             subjects.contains(member) ? member.watchedSince : Math.max(member.watchedSince, time);
                     found.add(member);
@@ -64,26 +68,38 @@
         return subjects;
     }
 
+    /** Returns whether a member has been silent for longer than its own time-out, which follows its usual gaps. */
     boolean isSilent(Member member, long now) {
         return now - Math.max(member.heardAt, member.watchedSince) > member.patience(settings.periodNanos());
     }
 
-    /** Whether it has not heard it for longer than a message or two take to be lost, whatever its usual gaps are. */
+    /**
+     * Returns whether a member has been silent for longer than the loss of a message or two explains, whatever its
+     * usual gaps are.
+     */
     boolean isLate(Member member, long now) {
         return now - Math.max(member.heardAt, member.watchedSince) > LATE * settings.periodNanos();
     }
 
-    /** Whether it has heard it just now, so that others can be told. */
+    /**
+     * Returns whether a message of a member arrived within the last one and a half periods, which is recent enough to
+     * vouch for it to others.
+     */
     boolean heardNow(Member member, long now) {
         return member.heardAt != 0 && now - member.heardAt <= 3 * settings.periodNanos() / 2;
     }
 
-    /** Whether it has heard it lately, whoever watches it. */
+    /** Returns whether messages of a member arrive here, whether or not this router monitors it. */
     boolean hears(Member member, long now) {
         return member.heardAt != 0 && now - member.heardAt <= member.patience(settings.periodNanos());
     }
 
-    /** Looks at all subjects; suspects those of whom most watchers hear nothing. */
+    /**
+     * Checks all monitored members, sends verdicts on the silent ones, and suspects those that most monitoring
+     * routers do not hear.
+     *
+     * @param doubts whether this router distrusts its own view; it then suspects nobody
+     */
     void look(long now, boolean doubts) {
         time = now;
         for (Member member : List.copyOf(subjects())) {
@@ -98,7 +114,7 @@
                 for (long other : roster.watchers(member.id, self)) {
                     tell.accept(roster.find(other), mine);
                 }
-                // Itself too: it may not know yet that it is watched from here, and answers.
+                // The member is informed too: it may not know yet that this router monitors it, and replies.
                 tell.accept(member, mine);
             }
             if (!doubts
@@ -110,7 +126,10 @@
         }
     }
 
-    /** Whether nobody hears it and most of those that could say so have said so, or have said nothing for long. */
+    /**
+     * Returns whether no router is known to hear a member and most of the routers that monitor it have reported its
+     * silence, or have not answered for several periods.
+     */
     private boolean isUnheard(Member member, long now) {
         if (now < member.vouchedUntil) {
             return false;
@@ -134,7 +153,7 @@
                 || now - member.silentSince >= UNANSWERED * settings.periodNanos();
     }
 
-    /** Another router says whether it hears a member. */
+    /** Handles the verdict of another router on a member. */
     void said(Member by, Verdict verdict, long now) {
         Member member = roster.find(verdict.id());
         if (member == null
@@ -151,7 +170,11 @@
         }
     }
 
-    /** Those whose time to answer is over have failed. */
+    /**
+     * Declares the suspects failed whose time for a refutation has expired.
+     *
+     * @param doubts whether this router distrusts its own view; it then declares nobody failed
+     */
     void judge(long now, boolean doubts) {
         if (roster.suspects() == 0) {
             return;
@@ -159,7 +182,7 @@
         List<Member> over = new ArrayList<>();
         for (Member member : roster.all()) {
             if (member.state == State.SUSPECT && doubts) {
-                // Whoever doubted itself gives everybody the whole time anew.
+                // While this router distrusts its view, every suspect gets the full time for a refutation again.
                 member.suspectUntil = now + settings.suspicionNanos();
             } else if (member.state == State.SUSPECT && now >= member.suspectUntil) {
                 over.add(member);
@@ -170,7 +193,10 @@
         }
     }
 
-    /** This router doubts itself no longer: it listens anew, and accuses nobody for what it did not hear meanwhile. */
+    /**
+     * Restarts the silence of all members from now, when this router trusts its view again, so that nobody is
+     * suspected for messages that were missed in the meantime.
+     */
     void listenAnew(long now) {
         for (Member member : roster.all()) {
             member.watchedSince = now;
@@ -178,7 +204,11 @@
         }
     }
 
-    /** What fell into this router's own pause was nobody's silence. */
+    /**
+     * Compensates for a pause of this router, which is not silence of the others.
+     *
+     * @param nanos the length of the pause
+     */
     void shift(long nanos, long now) {
         time = now;
         for (Member member : roster.all()) {
--- a/src/main/java/slateseam/tier/members/package-info.java
+++ b/src/main/java/slateseam/tier/members/package-info.java
@@ -1,7 +1,9 @@
 /**
- * Who is in the tier of routers: alive, suspect or gone, in which life, and who hears whom.
+ * Membership of the tier of routers by gossip: which routers are alive, suspect, failed or gone, in which life, and
+ * who hears whom.
  *
- * <p>It does no I/O and knows no clock: it is told datagrams and the time, and says what to send and what has changed. It uses nothing of
- * the program; the router's tier part and the simulation use it. The design note is docs/design/members.md.
+ * <p>The package does no I/O and reads no clock: callers pass in datagrams and the time, and receive the datagrams to
+ * send and the changes of the view. It depends on no other package of the program; both the tier module of the router
+ * and the simulator use it. The design is described in docs/design/members.md.
  */
 package slateseam.tier.members;
