--- a/src/main/java/slateseam/tier/members/GossipQueue.java
+++ b/src/main/java/slateseam/tier/members/GossipQueue.java
@@ -16,12 +16,12 @@
  */
 final class GossipQueue {
     /** Transmissions of an update for each doubling of the number of members. */
-    private static final int TELLS_PER_DOUBLING = 3;
+    private static final int TRANSMISSIONS_PER_DOUBLING = 3;
     /**
      * Limit on the updates examined for one datagram, so that a queue of a thousand updates that do not fit is not
      * scanned for one that does.
      */
-    private static final int MOST_LOOKS = 32;
+    private static final int MAX_ITEMS_EXAMINED = 32;
 
     private static final class Item {
         final long id;
@@ -64,10 +64,10 @@
      * @param members the number of members that are present
      */
     List<Record> take(int bytes, int members) {
-        int most = TELLS_PER_DOUBLING * (Integer.SIZE - Integer.numberOfLeadingZeros(members + 1));
+        int most = TRANSMISSIONS_PER_DOUBLING * (Integer.SIZE - Integer.numberOfLeadingZeros(members + 1));
         List<Item> taken = new ArrayList<>();
         int left = bytes;
-        int looks = MOST_LOOKS;
+        int looks = MAX_ITEMS_EXAMINED;
         for (Item item : byTold) {
             int length = item.record.bytes();
             if (length <= left) {
--- a/src/main/java/slateseam/tier/members/Ids.java
+++ b/src/main/java/slateseam/tier/members/Ids.java
@@ -8,7 +8,7 @@
 /** Numeric ids of routers, derived from their names, so that all routers compute the same ids. */
 final class Ids {
     /** The increment of SplitMix64: the odd number closest to 2^64 divided by the golden ratio. */
-    private static final long ODD = 0x9e3779b97f4a7c15L;
+    private static final long GOLDEN_GAMMA = 0x9e3779b97f4a7c15L;
 
     private Ids() {}
 
@@ -32,6 +32,6 @@
 
     /** Returns the position of a member on a ring; the members have a different order on each ring. */
     static long on(int ring, long id) {
-        return mix(id + ODD * (ring + 1));
+        return mix(id + GOLDEN_GAMMA * (ring + 1));
     }
 }
--- a/src/main/java/slateseam/tier/members/LocalHealth.java
+++ b/src/main/java/slateseam/tier/members/LocalHealth.java
@@ -16,13 +16,13 @@
  */
 final class LocalHealth {
     /** A gap between two ticks that is longer than this (300 ms) counts as a pause of this process. */
-    private static final long STOOD_STILL = 300_000_000L;
+    private static final long PAUSE_THRESHOLD_NANOS = 300_000_000L;
 
     /**
      * The silent fraction above which this router counts itself as part of a minority: one half, less the rounding
      * loss of sending the fraction in one byte.
      */
-    private static final double LEAST_MINORITY = 0.495;
+    private static final double MINORITY_THRESHOLD = 0.495;
 
     private final MembersSettings settings;
     private final long self;
@@ -71,7 +71,7 @@
     void tick(long now) {
         long gap = now - lastTick;
         lastTick = now;
-        if (gap > STOOD_STILL) {
+        if (gap > PAUSE_THRESHOLD_NANOS) {
             paused = true;
             heardSince.clear();
             watch.shift(gap, now);
@@ -110,7 +110,7 @@
         for (Member member : recent) {
             sum += member.silent;
         }
-        silentPart = (own + (double) sum / Member.MOST_SILENT) / (1 + recent.size());
+        silentPart = (own + (double) sum / Member.SILENT_FRACTION_SCALE) / (1 + recent.size());
     }
 
     /** Returns the members that each router monitors, by the id of the monitoring router. */
@@ -186,7 +186,7 @@
         }
         boolean most = roster.suspects() == 0 ? roster.present() * 2L > base : reachesMost(base, now);
         evenOut(subjects == 0 ? 0 : (double) silent / subjects * (base - 1) / base, now);
-        boolean minority = silentPart > LEAST_MINORITY || !most;
+        boolean minority = silentPart > MINORITY_THRESHOLD || !most;
         boolean alone = !heardAny && settings.peers().size() > 1;
         doubt = paused
                 ? LocalHealthIssue.PAUSED
--- a/src/main/java/slateseam/tier/members/Member.java
+++ b/src/main/java/slateseam/tier/members/Member.java
@@ -12,11 +12,11 @@
  */
 final class Member {
     /** The shortest time, 2 s, for which a refutation by another member protects this member from suspicion. */
-    private static final long LEAST_VOUCH = 2_000_000_000L;
+    private static final long MIN_VOUCH_NANOS = 2_000_000_000L;
     /** The longest such time, 16 s; the time doubles with each refutation. */
-    private static final long MOST_VOUCH = 16_000_000_000L;
+    private static final long MAX_VOUCH_NANOS = 16_000_000_000L;
     /** The encoding of a silent fraction of 1, which means that every monitored member is silent. */
-    static final int MOST_SILENT = 255;
+    static final int SILENT_FRACTION_SCALE = 255;
 
     /** The last verdict of a router that monitors this member, and the time until which the verdict is valid. */
     record Heard(Ear ear, long until) {}
@@ -84,7 +84,7 @@
     int others;
     /** The time at which the duplicate name was last reported; 0 if it has not been reported. */
     long twiceAt;
-    /** The fraction of the tier that the member last reported as silent, in units of 1/{@link #MOST_SILENT}. */
+    /** The fraction of the tier that the member last reported as silent, in units of 1/{@link #SILENT_FRACTION_SCALE}. */
     int silent;
     /** Whether {@link LocalHealth} has the member in its list of recently heard members. */
     boolean isRecent;
@@ -130,7 +130,7 @@
      * router that cannot hear it does not suspect it over and over.
      */
     void vouchedFor(long now) {
-        vouchedUntil = now + Math.min(MOST_VOUCH, LEAST_VOUCH << Math.min(vouched, 8));
+        vouchedUntil = now + Math.min(MAX_VOUCH_NANOS, MIN_VOUCH_NANOS << Math.min(vouched, 8));
         vouched++;
     }
 
--- a/src/main/java/slateseam/tier/members/Members.java
+++ b/src/main/java/slateseam/tier/members/Members.java
@@ -29,12 +29,12 @@
 public final class Members {
     /**
      * A life (the start time of a process) that lies more than a day ahead of this router's clock is implausible, and
-     * so is an incarnation above {@link #MOST_INCARNATIONS}; datagrams and claims with such values are dropped.
+     * so is an incarnation above {@link #MAX_INCARNATION}; datagrams and claims with such values are dropped.
      */
-    private static final long MOST_AHEAD_MILLIS = 86_400_000L;
+    private static final long MAX_AHEAD_OF_CLOCK_MILLIS = 86_400_000L;
 
     /** The highest incarnation that is accepted. A router that reaches it starts a later life instead. */
-    static final int MOST_INCARNATIONS = 1 << 30;
+    static final int MAX_INCARNATION = 1 << 30;
 
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000 * MILLI;
@@ -42,12 +42,12 @@
      * For this long after a new life was first heard, messages of the previous life count as delayed; after that they
      * count as messages of a second process with the same name.
      */
-    private static final long LATE_NANOS = 3 * SECOND;
+    private static final long DELAYED_MESSAGE_NANOS = 3 * SECOND;
 
     /** Messages of another process, in sequence, after which a duplicate name is reported. */
-    private static final int TWICE_MESSAGES = 5;
+    private static final int DUPLICATE_NAME_MESSAGES = 5;
     /** The shortest time between two reports of the same duplicate name. */
-    static final long TWICE_AGAIN_NANOS = 60 * SECOND;
+    static final long DUPLICATE_NAME_REPORT_NANOS = 60 * SECOND;
     /**
      * Periods between two comparisons of the view with a random member, and between two probes of addresses that are
      * not in the view.
@@ -56,22 +56,22 @@
     /** Periods between two introductions to a member that is already heard. */
     private static final int INTRODUCE_PERIODS = 10;
     /** Consecutive messages with a differing view digest after which the view is compared with the sender's. */
-    private static final int DIFFERS = 3;
+    private static final int MAX_DIGEST_MISMATCHES = 3;
 
     /**
      * Limit on requests for an introduction, and on replies to such requests and to verdicts, in one period; it
      * bounds the traffic that received datagrams can provoke.
      */
-    private static final int MOST_WHO_A_PERIOD = 5;
+    private static final int MAX_REPLIES_PER_PERIOD = 5;
     /**
      * Additional members that a router contacts while it is in a minority or unheard, and when it shuts down.
      */
-    private static final int BESIDE = 2;
+    private static final int EXTRA_TARGETS = 2;
     /**
      * Messages in quick succession after which a failed member counts as alive again; a single message may be a
      * delayed one.
      */
-    private static final int FRESH = 2;
+    private static final int MESSAGES_TO_REVIVE = 2;
 
     private final MembersSettings settings;
     private final RandomGenerator random;
@@ -88,7 +88,7 @@
     private long now;
     private long nextPeriod;
     private long periods;
-    /** The requests and replies that {@link #MOST_WHO_A_PERIOD} still allows in this period. */
+    /** The requests and replies that {@link #MAX_REPLIES_PER_PERIOD} still allows in this period. */
     private int whoLeft;
     /** The position of the next probe in the list of addresses to probe. */
     private int probed;
@@ -177,10 +177,10 @@
     /** Sends the heartbeats, probes and comparisons of one period. */
     private void period() {
         periods++;
-        whoLeft = MOST_WHO_A_PERIOD;
+        whoLeft = MAX_REPLIES_PER_PERIOD;
         Set<Long> to = ownWatchers();
         if (doubt.now() == LocalHealthIssue.UNHEARD || doubt.now() == LocalHealthIssue.MINORITY) {
-            for (int i = 0; i < BESIDE; i++) {
+            for (int i = 0; i < EXTRA_TARGETS; i++) {
                 Member other = any();
                 if (other != null) {
                     to.add(other.id);
@@ -285,7 +285,7 @@
     private void remember(InetSocketAddress to) {
         introducedTo.remove(to);
         introducedTo.add(to);
-        if (introducedTo.size() > settings.watchers() + BESIDE) {
+        if (introducedTo.size() > settings.watchers() + EXTRA_TARGETS) {
             introducedTo.remove(introducedTo.iterator().next());
         }
     }
@@ -327,7 +327,7 @@
         }
         all.addAll(records);
         if (news) {
-            int room = Message.MOST_BYTES
+            int room = Message.MAX_BYTES
                     - Message.HEADER_BYTES
                     - all.stream().mapToInt(Record::bytes).sum();
             all.addAll(roster.news.take(room, roster.present()));
@@ -342,7 +342,7 @@
                         own.incarnation(),
                         own.next(),
                         roster.digest(),
-                        (int) Math.round(Member.MOST_SILENT * doubt.silentPart()),
+                        (int) Math.round(Member.SILENT_FRACTION_SCALE * doubt.silentPart()),
                         all)
                 .encode();
         count(Traffic.SENT, 1);
@@ -394,9 +394,9 @@
     /** Returns whether a life or an incarnation is outside the plausible range. */
     private boolean isAbsurd(long aLife, int anIncarnation) {
         return aLife <= 0
-                || aLife > now / MILLI + MOST_AHEAD_MILLIS
+                || aLife > now / MILLI + MAX_AHEAD_OF_CLOCK_MILLIS
                 || anIncarnation < 0
-                || anIncarnation > MOST_INCARNATIONS;
+                || anIncarnation > MAX_INCARNATION;
     }
 
     /**
@@ -464,9 +464,9 @@
                 true,
                 List.of(new Claim(sender.id, sender.life, sender.incarnation, sender.state, self)),
                 false);
-        if (now - sender.since > LATE_NANOS
-                && sender.others >= TWICE_MESSAGES
-                && (sender.twiceAt == 0 || now - sender.twiceAt > TWICE_AGAIN_NANOS)) {
+        if (now - sender.since > DELAYED_MESSAGE_NANOS
+                && sender.others >= DUPLICATE_NAME_MESSAGES
+                && (sender.twiceAt == 0 || now - sender.twiceAt > DUPLICATE_NAME_REPORT_NANOS)) {
             sender.twiceAt = now;
             sink.changed(new Change(
                     Kind.TWICE,
@@ -500,7 +500,7 @@
         } else if (sender.state == State.FAILED) {
             // A single message may have been delayed; a live process continues to send.
             sender.afresh = soon ? sender.afresh + 1 : 1;
-            if (sender.afresh >= FRESH) {
+            if (sender.afresh >= MESSAGES_TO_REVIVE) {
                 answerFor(sender, sender.incarnation);
             }
         }
@@ -519,7 +519,7 @@
             doubt.unheard(false); // equal digests: the sender knows this router's current incarnation
         }
         sender.differs = alike ? 0 : sender.differs + 1;
-        if (sender.differs >= DIFFERS) {
+        if (sender.differs >= MAX_DIGEST_MISMATCHES) {
             sender.differs = 0;
             differing.add(sender.id);
         }
@@ -540,7 +540,7 @@
      * incarnation overrides the claim.
      */
     private void answerFor(Member member, int above) {
-        if (above < MOST_INCARNATIONS) {
+        if (above < MAX_INCARNATION) {
             count(Traffic.REFUTATIONS, 1);
             roster.take(member, member.life, above + 1, State.ALIVE, self, now);
         }
@@ -634,7 +634,7 @@
         for (Member member : roster.all()) {
             if (members.contains(member.id)
                     || member.state == State.ALIVE
-                            && members.size() < settings.watchers() + BESIDE
+                            && members.size() < settings.watchers() + EXTRA_TARGETS
                             && members.add(member.id)) {
                 places.add(member.place);
             }
--- a/src/main/java/slateseam/tier/members/Message.java
+++ b/src/main/java/slateseam/tier/members/Message.java
@@ -50,16 +50,16 @@
         int digest,
         int silent,
         List<Record> records) {
-    static final int MOST_BYTES = 256;
+    static final int MAX_BYTES = 256;
     static final byte MAGIC = (byte) 0xb7;
     private static final byte VERSION = 1;
     static final int HEADER_BYTES = 41;
     /** The offset after the checksum; the bytes from here to the end are part of the checksum. */
-    private static final int CHECKED_AT = 8;
+    private static final int CHECKSUM_END = 8;
     /** The bit of the flags for {@link #doubts}. */
-    private static final int DOUBTS = 1;
+    private static final int FLAG_DOUBTS = 1;
     /** The bit of the flags for {@link #asks}. */
-    private static final int ASKS = 2;
+    private static final int FLAG_ASKS = 2;
 
     /** The purpose of a message; the ordinal is written to the wire. */
     enum Kind {
@@ -206,7 +206,7 @@
                 .put(MAGIC)
                 .put(VERSION)
                 .put((byte) kind.ordinal())
-                .put((byte) ((doubts ? DOUBTS : 0) | (asks ? ASKS : 0)))
+                .put((byte) ((doubts ? FLAG_DOUBTS : 0) | (asks ? FLAG_ASKS : 0)))
                 .putInt(0)
                 .putInt(tier)
                 .putLong(sender)
@@ -223,12 +223,12 @@
     private static int checksum(byte[] bytes) {
         CRC32C sum = new CRC32C();
         sum.update(bytes, 0, 4);
-        sum.update(bytes, CHECKED_AT, bytes.length - CHECKED_AT);
+        sum.update(bytes, CHECKSUM_END, bytes.length - CHECKSUM_END);
         return (int) sum.getValue();
     }
 
     static Message decode(byte[] bytes) throws BadMessageException {
-        if (bytes.length < HEADER_BYTES || bytes.length > MOST_BYTES || !isOne(bytes)) {
+        if (bytes.length < HEADER_BYTES || bytes.length > MAX_BYTES || !isOne(bytes)) {
             throw new BadMessageException("length");
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
@@ -244,7 +244,7 @@
                 throw new BadMessageException("kind");
             }
             int flags = in.get(3);
-            in.position(CHECKED_AT);
+            in.position(CHECKSUM_END);
             int tier = in.getInt();
             long sender = in.getLong();
             long life = in.getLong();
@@ -258,8 +258,8 @@
             }
             return new Message(
                     Kind.values()[kind],
-                    (flags & DOUBTS) != 0,
-                    (flags & ASKS) != 0,
+                    (flags & FLAG_DOUBTS) != 0,
+                    (flags & FLAG_ASKS) != 0,
                     tier,
                     sender,
                     life,
--- a/src/main/java/slateseam/tier/members/Parts.java
+++ b/src/main/java/slateseam/tier/members/Parts.java
@@ -15,7 +15,7 @@
  */
 final class Parts {
     /** Limit on the datagrams that answer one comparison. */
-    private static final int MOST_ANSWERS = 4;
+    private static final int MAX_ANSWER_DATAGRAMS = 4;
 
     private final long self;
     private final Roster roster;
@@ -90,11 +90,11 @@
         int room = 0;
         for (Record record : (Iterable<Record>) all::iterator) {
             if (record.bytes() > room) {
-                if (datagrams.size() == MOST_ANSWERS) {
+                if (datagrams.size() == MAX_ANSWER_DATAGRAMS) {
                     return datagrams;
                 }
                 datagrams.add(new ArrayList<>());
-                room = Message.MOST_BYTES - Message.HEADER_BYTES;
+                room = Message.MAX_BYTES - Message.HEADER_BYTES;
             }
             datagrams.get(datagrams.size() - 1).add(record);
             room -= record.bytes();
--- a/src/main/java/slateseam/tier/members/Rings.java
+++ b/src/main/java/slateseam/tier/members/Rings.java
@@ -23,12 +23,12 @@
 
     /** One ring: the members in ascending order of their positions, which are compared as unsigned numbers. */
     private static final class Ring {
-        private static final int FIRST_CAPACITY = 16;
+        private static final int INITIAL_CAPACITY = 16;
 
         /** The positions with the sign bit flipped, ascending. */
-        private long[] places = new long[FIRST_CAPACITY];
+        private long[] places = new long[INITIAL_CAPACITY];
 
-        private long[] ids = new long[FIRST_CAPACITY];
+        private long[] ids = new long[INITIAL_CAPACITY];
         private int size;
 
         /** Flips the sign bit, which makes the signed order of longs the unsigned order of the positions. */
--- a/src/main/java/slateseam/tier/members/Roster.java
+++ b/src/main/java/slateseam/tier/members/Roster.java
@@ -29,7 +29,7 @@
 
     private static final int PART_SHIFT = Long.SIZE - 4;
     /** Limit on the tombstones that are kept; the oldest are dropped first. */
-    private static final int MOST_FORGOTTEN = MembersSettings.MOST;
+    private static final int MAX_TOMBSTONES = MembersSettings.MOST;
 
     /** What is kept of a forgotten member, so that outdated claims about its last life do not bring it back. */
     private record Tombstone(long life, int sequence) {}
@@ -43,7 +43,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Tombstone> eldest) {
-            return size() > MOST_FORGOTTEN;
+            return size() > MAX_TOMBSTONES;
         }
     };
     /** The members that failed or left and are not forgotten yet. */
--- a/src/main/java/slateseam/tier/members/SelfState.java
+++ b/src/main/java/slateseam/tier/members/SelfState.java
@@ -13,9 +13,9 @@
      * For this long after its start, a router may replace its life by a later one than its clock gave. An earlier
      * process of the same name may have had a clock that was ahead.
      */
-    private static final long YOUNG_NANOS = 3 * SECOND;
+    private static final long LIFE_RAISE_NANOS = 3 * SECOND;
     /** The time in which a refutation should have reached all members. */
-    private static final long UNHEARD_NANOS = 2 * SECOND;
+    private static final long REFUTATION_SPREAD_NANOS = 2 * SECOND;
 
     private final MembersSettings settings;
     private final long self;
@@ -81,21 +81,21 @@
     boolean told(long ofLife, int anIncarnation, State state, long now) {
         if (ofLife != life) {
             // The claiming router does not know this life, although it has been announced for long enough.
-            if (ofLife < life && state.isGone() && now - startedAt > UNHEARD_NANOS) {
+            if (ofLife < life && state.isGone() && now - startedAt > REFUTATION_SPREAD_NANOS) {
                 doubt.unheard(true);
             }
             other(ofLife, state, false, now);
         } else if (state == State.ALIVE && anIncarnation >= incarnation) {
             is(life, anIncarnation);
             doubt.unheard(false);
-        } else if (state.isGone() && anIncarnation < incarnation && now - answeredAt > UNHEARD_NANOS) {
+        } else if (state.isGone() && anIncarnation < incarnation && now - answeredAt > REFUTATION_SPREAD_NANOS) {
             doubt.unheard(true); // the refutation has not reached the other members
         } else if (state != State.ALIVE && anIncarnation >= incarnation) {
             answeredAt = now;
             if (state.isGone()) {
                 doubt.unheard(true);
             }
-            if (anIncarnation >= Members.MOST_INCARNATIONS) {
+            if (anIncarnation >= Members.MAX_INCARNATION) {
                 lives(life + 1);
             } else {
                 is(life, anIncarnation + 1);
@@ -122,12 +122,12 @@
      */
     private void other(long ofLife, State state, boolean speaks, long now) {
         boolean over = state.isGone(); // the process of that life has ended
-        if (ofLife > life && (over || !raised && now - startedAt < YOUNG_NANOS)) {
+        if (ofLife > life && (over || !raised && now - startedAt < LIFE_RAISE_NANOS)) {
             raised = true;
             lives(ofLife + 1);
         } else if (ofLife > life || speaks && ofLife != life) {
             twice = true;
-            if (twiceToldAt == 0 || now - twiceToldAt > Members.TWICE_AGAIN_NANOS) {
+            if (twiceToldAt == 0 || now - twiceToldAt > Members.DUPLICATE_NAME_REPORT_NANOS) {
                 twiceToldAt = now;
                 sink.changed(new Change(
                         Kind.TWICE, settings.name(), settings.number(), "life=" + life + " other_life=" + ofLife));
--- a/src/main/java/slateseam/tier/members/Watch.java
+++ b/src/main/java/slateseam/tier/members/Watch.java
@@ -16,15 +16,15 @@
  */
 final class Watch {
     /** Limit on the routers whose last verdict on one member is kept. */
-    private static final int MOST_EARS = 1_024;
+    private static final int MAX_VERDICTS = 1_024;
 
     /** Periods of silence after which missing verdicts of other routers are no longer awaited. */
-    private static final int UNANSWERED = 3;
+    private static final int VERDICT_WAIT_PERIODS = 3;
     /** Periods for which a verdict is valid; verdicts are repeated each period. */
-    private static final int HOLDS = 3;
+    private static final int VERDICT_VALID_PERIODS = 3;
 
     /** Periods of silence after which a member is late, whatever its usual gaps are. */
-    private static final int LATE = 4;
+    private static final int LATE_PERIODS = 4;
 
     private final MembersSettings settings;
     private final long self;
@@ -78,7 +78,7 @@
      * usual gaps are.
      */
     boolean isLate(Member member, long now) {
-        return now - Math.max(member.heardAt, member.watchedSince) > LATE * settings.periodNanos();
+        return now - Math.max(member.heardAt, member.watchedSince) > LATE_PERIODS * settings.periodNanos();
     }
 
     /**
@@ -150,7 +150,7 @@
             }
         }
         return silent > (others.size() + 1 - unsure) / 2
-                || now - member.silentSince >= UNANSWERED * settings.periodNanos();
+                || now - member.silentSince >= VERDICT_WAIT_PERIODS * settings.periodNanos();
     }
 
     /** Handles the verdict of another router on a member. */
@@ -162,8 +162,8 @@
                 || verdict.ear() != Ear.HEARS && verdict.incarnation() != member.incarnation) {
             return;
         }
-        if (member.ears.size() < MOST_EARS) {
-            member.ears.put(by.id, new Heard(verdict.ear(), now + HOLDS * settings.periodNanos()));
+        if (member.ears.size() < MAX_VERDICTS) {
+            member.ears.put(by.id, new Heard(verdict.ear(), now + VERDICT_VALID_PERIODS * settings.periodNanos()));
         }
         if (verdict.ear() != Ear.HEARS && heardNow(member, now)) {
             tell.accept(by, new Verdict(member.id, member.life, member.incarnation, Ear.HEARS));
--- a/src/test/java/slateseam/simulate/TierBugs.java
+++ b/src/test/java/slateseam/simulate/TierBugs.java
@@ -29,8 +29,8 @@
                 bug(
                         "a pause is not noticed",
                         "LocalHealth",
-                        "if (gap > STOOD_STILL) {",
-                        "if (gap > 1000 * STOOD_STILL) {"),
+                        "if (gap > PAUSE_THRESHOLD_NANOS) {",
+                        "if (gap > 1000 * PAUSE_THRESHOLD_NANOS) {"),
                 bug(
                         "an old life is believed",
                         "Members",
@@ -51,7 +51,7 @@
                 bug(
                         "the smaller part does not know it",
                         "LocalHealth",
-                        "silentPart > LEAST_MINORITY || !most",
+                        "silentPart > MINORITY_THRESHOLD || !most",
                         "false"),
                 bug(
                         "one that left comes back in the same life",
