--- a/src/main/java/slateseam/tier/members/Ids.java
+++ b/src/main/java/slateseam/tier/members/Ids.java
@@ -31,7 +31,7 @@
     }
 
     /** Returns the position of a member on a ring; the members have a different order on each ring. */
-    static long on(int ring, long id) {
+    static long ringPosition(int ring, long id) {
         return mix(id + GOLDEN_GAMMA * (ring + 1));
     }
 }
--- a/src/main/java/slateseam/tier/members/Rings.java
+++ b/src/main/java/slateseam/tier/members/Rings.java
@@ -17,7 +17,7 @@
 final class Rings {
     private final List<Ring> rings = new ArrayList<>();
     /** The watchers computed since the rings last changed, by the id of the watched member. */
-    private final Map<Long, long[]> known = new HashMap<>();
+    private final Map<Long, long[]> cachedWatchers = new HashMap<>();
 
     private int version;
 
@@ -26,64 +26,64 @@
         private static final int INITIAL_CAPACITY = 16;
 
         /** The positions with the sign bit flipped, ascending. */
-        private long[] places = new long[INITIAL_CAPACITY];
+        private long[] positions = new long[INITIAL_CAPACITY];
 
         private long[] ids = new long[INITIAL_CAPACITY];
         private int size;
 
         /** Flips the sign bit, which makes the signed order of longs the unsigned order of the positions. */
-        private static long key(long place) {
-            return place ^ Long.MIN_VALUE;
+        private static long key(long position) {
+            return position ^ Long.MIN_VALUE;
         }
 
         /**
          * Returns the index of a position, or the result of {@link Arrays#binarySearch} for its insertion point if it
          * is absent.
          */
-        private int find(long place) {
-            return Arrays.binarySearch(places, 0, size, key(place));
+        private int find(long position) {
+            return Arrays.binarySearch(positions, 0, size, key(position));
         }
 
         /** Adds a member at a position; returns false if the position is occupied. */
-        boolean add(long place, long id) {
-            int found = find(place);
+        boolean add(long position, long id) {
+            int found = find(position);
             if (found >= 0) {
                 return false;
             }
             int at = -found - 1;
-            if (size == places.length) {
-                places = Arrays.copyOf(places, 2 * size);
+            if (size == positions.length) {
+                positions = Arrays.copyOf(positions, 2 * size);
                 ids = Arrays.copyOf(ids, 2 * size);
             }
-            System.arraycopy(places, at, places, at + 1, size - at);
+            System.arraycopy(positions, at, positions, at + 1, size - at);
             System.arraycopy(ids, at, ids, at + 1, size - at);
-            places[at] = key(place);
+            positions[at] = key(position);
             ids[at] = id;
             size++;
             return true;
         }
 
         /** Removes the member at a position; returns false if there is none. */
-        boolean remove(long place) {
-            int at = find(place);
+        boolean remove(long position) {
+            int at = find(position);
             if (at < 0) {
                 return false;
             }
-            System.arraycopy(places, at + 1, places, at, size - at - 1);
+            System.arraycopy(positions, at + 1, positions, at, size - at - 1);
             System.arraycopy(ids, at + 1, ids, at, size - at - 1);
             size--;
             return true;
         }
 
         /** Returns the index of the first member after a position, wrapping around at the end. */
-        int after(long place) {
-            int found = find(place);
+        int after(long position) {
+            int found = find(position);
             return next(found >= 0 ? found : -found - 2);
         }
 
         /** Returns the index of the last member before a position, wrapping around at the start. */
-        int before(long place) {
-            int found = find(place);
+        int before(long position) {
+            int found = find(position);
             return previous(found >= 0 ? found : -found - 1);
         }
 
@@ -96,8 +96,8 @@
         }
     }
 
-    Rings(int number) {
-        for (int i = 0; i < number; i++) {
+    Rings(int count) {
+        for (int i = 0; i < count; i++) {
             rings.add(new Ring());
         }
     }
@@ -105,23 +105,23 @@
     void add(long id) {
         boolean changed = false;
         for (int i = 0; i < rings.size(); i++) {
-            changed |= rings.get(i).add(Ids.on(i, id), id);
+            changed |= rings.get(i).add(Ids.ringPosition(i, id), id);
         }
-        changed(changed);
+        invalidateIf(changed);
     }
 
     void remove(long id) {
         boolean changed = false;
         for (int i = 0; i < rings.size(); i++) {
-            changed |= rings.get(i).remove(Ids.on(i, id));
+            changed |= rings.get(i).remove(Ids.ringPosition(i, id));
         }
-        changed(changed);
+        invalidateIf(changed);
     }
 
-    private void changed(boolean so) {
-        if (so) {
+    private void invalidateIf(boolean changed) {
+        if (changed) {
             version++;
-            known.clear();
+            cachedWatchers.clear();
         }
     }
 
@@ -140,7 +140,7 @@
      * array.
      */
     long[] watchers(long id) {
-        return known.computeIfAbsent(id, this::find);
+        return cachedWatchers.computeIfAbsent(id, this::find);
     }
 
     private long[] find(long id) {
@@ -148,7 +148,7 @@
         int found = 0;
         for (int i = 0; i < rings.size() && found < watchers.length; i++) {
             Ring ring = rings.get(i);
-            int at = ring.after(Ids.on(i, id));
+            int at = ring.after(Ids.ringPosition(i, id));
             for (int steps = 0; steps <= ring.size; steps++) {
                 long next = ring.ids[at];
                 if (next != id && !contains(watchers, found, next)) {
@@ -175,7 +175,7 @@
         Set<Long> subjects = new LinkedHashSet<>();
         for (int i = 0; i < rings.size(); i++) {
             Ring ring = rings.get(i);
-            int at = ring.before(Ids.on(i, id));
+            int at = ring.before(Ids.ringPosition(i, id));
             // A member skips at most one watcher for each earlier ring, so members further back cannot be watched by
             // this
             // one.
--- a/src/test/java/slateseam/tier/members/RingsTest.java
+++ b/src/test/java/slateseam/tier/members/RingsTest.java
@@ -73,11 +73,11 @@
         for (int i = 0; i < rings && watchers.size() < there.size() - 1; i++) {
             NavigableMap<Long, Long> ring = new TreeMap<>(Long::compareUnsigned);
             for (long one : there) {
-                ring.put(Ids.on(i, one), one);
+                ring.put(Ids.ringPosition(i, one), one);
             }
             List<Long> after =
-                    new ArrayList<>(ring.tailMap(Ids.on(i, id), false).values());
-            after.addAll(ring.headMap(Ids.on(i, id), true).values());
+                    new ArrayList<>(ring.tailMap(Ids.ringPosition(i, id), false).values());
+            after.addAll(ring.headMap(Ids.ringPosition(i, id), true).values());
             for (long next : after) {
                 if (next != id && watchers.add(next)) {
                     break;
