--- a/src/main/java/slateseam/tier/members/GossipQueue.java
+++ b/src/main/java/slateseam/tier/members/GossipQueue.java
@@ -27,7 +27,7 @@
         final long id;
         final Record record;
         final long order;
-        int told;
+        int transmissions;
 
         Item(long id, Record record, long order) {
             this.id = id;
@@ -41,19 +41,19 @@
      * The items of {@link #items}, fewest transmissions first and then newest first. The order is maintained
      * incrementally, because sorting all items for each datagram dominated the cost while many members joined.
      */
-    private final NavigableSet<Item> byTold =
-            new TreeSet<>(Comparator.<Item>comparingInt(item -> item.told).thenComparing(item -> -item.order));
+    private final NavigableSet<Item> byTransmissions = new TreeSet<>(
+            Comparator.<Item>comparingInt(item -> item.transmissions).thenComparing(item -> -item.order));
 
-    private long orders;
+    private long nextOrder;
 
     /** Queues an update of a member in place of any earlier update of the same member. */
     void add(long id, Record record) {
-        Item item = new Item(id, record, orders++);
-        Item before = items.put(id, item);
-        if (before != null) {
-            byTold.remove(before);
+        Item item = new Item(id, record, nextOrder++);
+        Item previous = items.put(id, item);
+        if (previous != null) {
+            byTransmissions.remove(previous);
         }
-        byTold.add(item);
+        byTransmissions.add(item);
     }
 
     /**
@@ -64,26 +64,26 @@
      * @param members the number of members that are present
      */
     List<Record> take(int bytes, int members) {
-        int most = TRANSMISSIONS_PER_DOUBLING * (Integer.SIZE - Integer.numberOfLeadingZeros(members + 1));
+        int maxTransmissions = TRANSMISSIONS_PER_DOUBLING * (Integer.SIZE - Integer.numberOfLeadingZeros(members + 1));
         List<Item> taken = new ArrayList<>();
-        int left = bytes;
-        int looks = MAX_ITEMS_EXAMINED;
-        for (Item item : byTold) {
+        int room = bytes;
+        int examinationsLeft = MAX_ITEMS_EXAMINED;
+        for (Item item : byTransmissions) {
             int length = item.record.bytes();
-            if (length <= left) {
-                left -= length;
+            if (length <= room) {
+                room -= length;
                 taken.add(item);
             }
-            if (left < Message.Claim.BYTES || --looks == 0) {
+            if (room < Message.Claim.BYTES || --examinationsLeft == 0) {
                 break;
             }
         }
-        byTold.removeAll(taken);
+        byTransmissions.removeAll(taken);
         for (Item item : taken) {
-            if (++item.told >= most) {
+            if (++item.transmissions >= maxTransmissions) {
                 items.remove(item.id);
             } else {
-                byTold.add(item);
+                byTransmissions.add(item);
             }
         }
         return taken.stream().map(item -> item.record).toList();
