--- a/src/main/java/slateseam/tier/members/LocalHealth.java
+++ b/src/main/java/slateseam/tier/members/LocalHealth.java
@@ -29,25 +29,25 @@
     private final Roster roster;
     private final Watch watch;
     /** The members heard since this process resumed after a pause; filled only while {@link #paused}. */
-    private final Set<Long> heardSince = new HashSet<>();
+    private final Set<Long> heardSincePause = new HashSet<>();
     /** The members heard recently; members that have fallen silent are removed at the next evaluation. */
     private final List<Member> recent = new ArrayList<>();
     /**
      * The members that each router monitors, by the id of the monitoring router; computed for version {@link
-     * #watchedVersion} of the rings.
+     * #subjectsVersion} of the rings.
      */
-    private final Map<Long, List<Member>> watched = new HashMap<>();
+    private final Map<Long, List<Member>> subjectsByWatcher = new HashMap<>();
 
-    private int watchedVersion = -1;
-    private int searches;
+    private int subjectsVersion = -1;
+    private int searchCount;
     private long lastTick;
     private boolean heardAny;
     private boolean paused;
     private boolean unheard;
     /** The fraction of the tier that is silent, averaged over this router's observation and the reports of others. */
-    private double silentPart;
+    private double silentFraction;
 
-    private LocalHealthIssue doubt = LocalHealthIssue.STARTING;
+    private LocalHealthIssue issue = LocalHealthIssue.STARTING;
 
     LocalHealth(MembersSettings settings, long self, Roster roster, Watch watch, long now) {
         this.settings = settings;
@@ -58,13 +58,13 @@
     }
 
     /** Returns the result of the last evaluation. */
-    LocalHealthIssue now() {
-        return doubt;
+    LocalHealthIssue issue() {
+        return issue;
     }
 
     /** Returns whether this router currently distrusts its view. */
-    boolean isThere() {
-        return doubt != LocalHealthIssue.NONE;
+    boolean hasIssue() {
+        return issue != LocalHealthIssue.NONE;
     }
 
     /** Advances the clock. A long gap since the previous tick means that this process was paused. */
@@ -73,26 +73,26 @@
         lastTick = now;
         if (gap > PAUSE_THRESHOLD_NANOS) {
             paused = true;
-            heardSince.clear();
-            watch.shift(gap, now);
+            heardSincePause.clear();
+            watch.compensatePause(gap, now);
         }
     }
 
     /** Records that a message of a member arrived. */
-    void heard(Member sender) {
+    void recordHeard(Member sender) {
         heardAny = true;
         if (paused) {
-            heardSince.add(sender.id);
+            heardSincePause.add(sender.id);
         }
-        if (!sender.isRecent) {
-            sender.isRecent = true;
+        if (!sender.isRecentlyHeard) {
+            sender.isRecentlyHeard = true;
             recent.add(sender);
         }
     }
 
     /** Records whether other routers hold this router as failed or left. */
-    void unheard(boolean so) {
-        unheard = so;
+    void setUnheard(boolean value) {
+        unheard = value;
     }
 
     /**
@@ -101,32 +101,34 @@
      * over their own peers in turn, so the value converges to what all routers on this side of the partition observe
      * together.
      */
-    private void evenOut(double own, long now) {
+    private void averageSilentFraction(double ownFraction, long now) {
         recent.removeIf(member -> {
-            member.isRecent = watch.heardNow(member, now);
-            return !member.isRecent;
+            member.isRecentlyHeard = watch.heardNow(member, now);
+            return !member.isRecentlyHeard;
         });
         int sum = 0;
         for (Member member : recent) {
-            sum += member.silent;
+            sum += member.silentFraction;
         }
-        silentPart = (own + (double) sum / Member.SILENT_FRACTION_SCALE) / (1 + recent.size());
+        silentFraction = (ownFraction + (double) sum / Member.SILENT_FRACTION_SCALE) / (1 + recent.size());
     }
 
     /** Returns the members that each router monitors, by the id of the monitoring router. */
-    private Map<Long, List<Member>> watched() {
-        if (watchedVersion != roster.rings.version()) {
-            watchedVersion = roster.rings.version();
-            watched.clear();
+    private Map<Long, List<Member>> subjectsByWatcher() {
+        if (subjectsVersion != roster.rings.version()) {
+            subjectsVersion = roster.rings.version();
+            subjectsByWatcher.clear();
             for (Member member : roster.all()) {
                 if (!member.state.isGone()) {
                     for (long by : roster.rings.watchers(member.id)) {
-                        watched.computeIfAbsent(by, x -> new ArrayList<>()).add(member);
+                        subjectsByWatcher
+                                .computeIfAbsent(by, x -> new ArrayList<>())
+                                .add(member);
                     }
                 }
             }
         }
-        return watched;
+        return subjectsByWatcher;
     }
 
     /**
@@ -136,23 +138,23 @@
      *
      * @param base the number of members of which a majority is required
      */
-    private boolean reachesMost(long base, long now) {
-        searches++;
+    private boolean reachesMajority(long base, long now) {
+        searchCount++;
         int alive = 1;
         Deque<Long> open = new ArrayDeque<>(List.of(self));
         for (Member member : roster.all()) {
             if (!member.state.isGone() && !watch.isLate(member, now) && member.heardAt != 0) {
-                member.reachedBy = searches;
+                member.lastReachedBySearch = searchCount;
                 open.add(member.id);
                 alive += member.state == State.ALIVE ? 1 : 0;
             }
         }
         while (!open.isEmpty() && alive * 2L <= base) {
-            for (Member member : watched().getOrDefault(open.poll(), List.of())) {
-                if (member.reachedBy != searches
+            for (Member member : subjectsByWatcher().getOrDefault(open.poll(), List.of())) {
+                if (member.lastReachedBySearch != searchCount
                         && member.state == State.ALIVE
                         && !(watch.isLate(member, now) && watch.subjects().contains(member))) {
-                    member.reachedBy = searches;
+                    member.lastReachedBySearch = searchCount;
                     open.add(member.id);
                     alive++;
                 }
@@ -162,39 +164,39 @@
     }
 
     /** Returns the fraction of the tier that is silent as far as this router can tell, from 0 to 1. */
-    double silentPart() {
-        return silentPart;
+    double silentFraction() {
+        return silentFraction;
     }
 
     /** Evaluates the current situation and returns the reason for which this router distrusts its view, if any. */
-    LocalHealthIssue look(long now) {
+    LocalHealthIssue evaluate(long now) {
         long subjects = 0;
         long silent = 0;
-        long since = 0;
+        long heardAfterPause = 0;
         for (Member member : watch.subjects()) {
             subjects++;
             silent += watch.isLate(member, now) ? 1 : 0;
-            since += heardSince.contains(member.id) ? 1 : 0;
+            heardAfterPause += heardSincePause.contains(member.id) ? 1 : 0;
         }
-        if (paused && since * 2 >= subjects) {
+        if (paused && heardAfterPause * 2 >= subjects) {
             paused = false;
-            heardSince.clear();
+            heardSincePause.clear();
         }
         long base = roster.present();
         for (Member member : roster.gone()) {
-            base += member.state == State.FAILED && now - member.since < settings.recentNanos() ? 1 : 0;
+            base += member.state == State.FAILED && now - member.stateSince < settings.recentNanos() ? 1 : 0;
         }
-        boolean most = roster.suspects() == 0 ? roster.present() * 2L > base : reachesMost(base, now);
-        evenOut(subjects == 0 ? 0 : (double) silent / subjects * (base - 1) / base, now);
-        boolean minority = silentPart > MINORITY_THRESHOLD || !most;
+        boolean majority = roster.suspects() == 0 ? roster.present() * 2L > base : reachesMajority(base, now);
+        averageSilentFraction(subjects == 0 ? 0 : (double) silent / subjects * (base - 1) / base, now);
+        boolean minority = silentFraction > MINORITY_THRESHOLD || !majority;
         boolean alone = !heardAny && settings.peers().size() > 1;
-        doubt = paused
+        issue = paused
                 ? LocalHealthIssue.PAUSED
                 : unheard
                         ? LocalHealthIssue.UNHEARD
                         : alone
                                 ? LocalHealthIssue.STARTING
                                 : minority ? LocalHealthIssue.MINORITY : LocalHealthIssue.NONE;
-        return doubt;
+        return issue;
     }
 }
--- a/src/main/java/slateseam/tier/members/Member.java
+++ b/src/main/java/slateseam/tier/members/Member.java
@@ -26,9 +26,9 @@
     /** The number in the list of peers; -1 if it is not known. */
     int number = -1;
 
-    InetSocketAddress place;
+    InetSocketAddress address;
     /** The address that other members report for this member; null if none has been reported. */
-    InetSocketAddress toldPlace;
+    InetSocketAddress reportedAddress;
 
     /** The start time of the member's process in Unix milliseconds, as announced by the member itself. */
     long life;
@@ -36,15 +36,15 @@
     int incarnation;
     State state = State.ALIVE;
     /** The time at which the member entered its current state or life. */
-    long since;
+    long stateSince;
     /** The id of the router that reported the current state. */
-    long by;
+    long reportedBy;
     /** The sequence number of the last message received in this life. */
     int sequence;
     /** The time at which the last message arrived; 0 if none has arrived in this life. */
     long heardAt;
     /** Messages received in quick succession since the member was declared failed. */
-    int afresh;
+    int messagesSinceFailure;
     /**
      * The time from which silence counts, so that a member is not suspected for a time in which it could not be
      * heard.
@@ -61,7 +61,7 @@
     long silentSince;
 
     /** The time at which this router last sent its verdict on the silent member to the other monitors. */
-    long toldAt;
+    long verdictSentAt;
     /**
      * The time until which a refutation by another member protects this member from being suspected here again; the
      * protection lengthens with each refutation.
@@ -69,7 +69,7 @@
     long vouchedUntil;
 
     /** The number of refutations by others since a message last arrived here. */
-    private int vouched;
+    private int vouchCount;
     /** The deadline for refuting the current suspicion; 0 unless the member is suspect. */
     long suspectUntil;
 
@@ -81,17 +81,17 @@
     /** The sequence number of the last message of that other process. */
     int otherSequence;
     /** The number of messages of that other process received in sequence. */
-    int others;
+    int otherMessages;
     /** The time at which the duplicate name was last reported; 0 if it has not been reported. */
-    long twiceAt;
+    long duplicateReportedAt;
     /** The fraction of the tier that the member last reported as silent, in units of 1/{@link #SILENT_FRACTION_SCALE}. */
-    int silent;
+    int silentFraction;
     /** Whether {@link LocalHealth} has the member in its list of recently heard members. */
-    boolean isRecent;
+    boolean isRecentlyHeard;
     /** The number of the last reachability search of {@link LocalHealth} that reached this member. */
-    int reachedBy;
+    int lastReachedBySearch;
     /** The number of consecutive messages of the member whose view digest differed from the digest here. */
-    int differs;
+    int digestMismatches;
 
     Member(long id) {
         this.id = id;
@@ -111,17 +111,17 @@
     }
 
     /** Resets the per-life state for a new life of the member. */
-    void lives(long aLife, int anIncarnation, long now) {
+    void startLife(long aLife, int anIncarnation, long now) {
         life = aLife;
         incarnation = anIncarnation;
         sequence = 0;
         heardAt = 0;
-        afresh = 0;
+        messagesSinceFailure = 0;
         watchedSince = now;
         silentSince = 0;
-        others = 0;
+        otherMessages = 0;
         vouchedUntil = 0;
-        vouched = 0;
+        vouchCount = 0;
         ears.clear();
     }
 
@@ -129,20 +129,20 @@
      * Records that another member refuted a suspicion of this member. The member is protected for a time, so that a
      * router that cannot hear it does not suspect it over and over.
      */
-    void vouchedFor(long now) {
-        vouchedUntil = now + Math.min(MAX_VOUCH_NANOS, MIN_VOUCH_NANOS << Math.min(vouched, 8));
-        vouched++;
+    void recordVouch(long now) {
+        vouchedUntil = now + Math.min(MAX_VOUCH_NANOS, MIN_VOUCH_NANOS << Math.min(vouchCount, 8));
+        vouchCount++;
     }
 
     /**
      * Records the arrival of a message and updates the statistics of the gaps between messages.
      *
      * @param period the heartbeat period
-     * @param learns false if the gap may have been caused by this router's own pause and must not enter the
+     * @param updatesStatistics false if the gap may have been caused by this router's own pause and must not enter the
      *     statistics
      */
-    void hear(long now, long period, boolean learns) {
-        if (heardAt != 0 && learns) {
+    void recordMessage(long now, long period, boolean updatesStatistics) {
+        if (heardAt != 0 && updatesStatistics) {
             double gap = Math.min(now - heardAt, 8.0 * period);
             meanGap = meanGap == 0 ? gap : meanGap + (gap - meanGap) / 16;
             // The estimate rises quickly on an unusual gap and decays slowly.
@@ -152,14 +152,14 @@
         heardAt = now;
         silentSince = 0;
         vouchedUntil = 0;
-        vouched = 0;
+        vouchCount = 0;
     }
 
     /**
      * Returns the silence after which the member counts as silent: the mean gap plus four deviations plus one and a
      * half periods, but at least 4 and at most 12 periods.
      */
-    long patience(long period) {
+    long silenceTimeout(long period) {
         double usual = meanGap == 0 ? period : meanGap;
         return (long) Math.max(4.0 * period, Math.min(12.0 * period, usual + 4 * deviation + 1.5 * period));
     }
--- a/src/main/java/slateseam/tier/members/Members.java
+++ b/src/main/java/slateseam/tier/members/Members.java
@@ -75,42 +75,42 @@
 
     private final MembersSettings settings;
     private final RandomGenerator random;
-    private final MembersPort sink;
+    private final MembersPort port;
     private final long self;
     private final int tier;
     private final Roster roster;
     private final Watch watch;
-    private final LocalHealth doubt;
+    private final LocalHealth localHealth;
     private final Map<Traffic, Long> traffic = new EnumMap<>(Traffic.class);
-    private final SelfState own;
+    private final SelfState selfState;
     private final Parts parts;
     private boolean left;
     private long now;
     private long nextPeriod;
     private long periods;
     /** The requests and replies that {@link #MAX_REPLIES_PER_PERIOD} still allows in this period. */
-    private int whoLeft;
+    private int repliesLeft;
     /** The position of the next probe in the list of addresses to probe. */
-    private int probed;
+    private int nextProbe;
     /** The addresses that were probed most recently, whether or not they have answered. */
-    private final Set<InetSocketAddress> introducedTo = new LinkedHashSet<>();
+    private final Set<InetSocketAddress> recentlyProbed = new LinkedHashSet<>();
     /** The members whose view digest has differed from this one's repeatedly; their views are compared next. */
     private final Set<Long> differing = new LinkedHashSet<>();
 
     /** The issue that was last reported to the port. */
-    private LocalHealthIssue told = LocalHealthIssue.NONE;
+    private LocalHealthIssue reportedIssue = LocalHealthIssue.NONE;
 
     /**
      * Starts the membership of this router in a new life.
      *
      * @param now Unix time in nanoseconds; its milliseconds identify the life
      * @param random the source of all randomness
-     * @param sink receives the datagrams to send and the changes of the view
+     * @param port receives the datagrams to send and the changes of the view
      */
-    public Members(MembersSettings settings, long now, RandomGenerator random, MembersPort sink) {
+    public Members(MembersSettings settings, long now, RandomGenerator random, MembersPort port) {
         this.settings = settings;
         this.random = random;
-        this.sink = sink;
+        this.port = port;
         this.now = now;
         nextPeriod = now;
         self = Ids.of(settings.name());
@@ -126,7 +126,7 @@
                 if (change.kind() == Kind.SUSPECTED && change.why().contains(" by=" + settings.name() + " ")) {
                     count(Traffic.SUSPICIONS, 1);
                 }
-                sink.changed(change);
+                port.changed(change);
             }
         });
         parts = new Parts(self, roster, random);
@@ -134,9 +134,9 @@
                 settings,
                 self,
                 roster,
-                (to, verdict) -> send(to.place, Message.Kind.HEARTBEAT, false, accused(to, verdict), true));
-        doubt = new LocalHealth(settings, self, roster, watch, now);
-        own = new SelfState(settings, self, now, roster, doubt, sink);
+                (to, verdict) -> send(to.address, Message.Kind.HEARTBEAT, false, withSuspicion(to, verdict), true));
+        localHealth = new LocalHealth(settings, self, roster, watch, now);
+        selfState = new SelfState(settings, self, now, roster, localHealth, port);
     }
 
     private void count(Traffic what, long more) {
@@ -154,34 +154,37 @@
         if (left) {
             return;
         }
-        doubt.tick(now);
+        localHealth.tick(now);
         if (now >= nextPeriod) {
             nextPeriod = Math.max(now, nextPeriod + settings.periodNanos());
-            period();
+            runPeriod();
         }
-        boolean doubted = doubt.isThere();
-        LocalHealthIssue is = doubt.look(now);
-        if (doubted && is == LocalHealthIssue.NONE) {
-            watch.listenAnew(now);
+        boolean hadIssue = localHealth.hasIssue();
+        LocalHealthIssue issue = localHealth.evaluate(now);
+        if (hadIssue && issue == LocalHealthIssue.NONE) {
+            watch.restartSilence(now);
         }
-        watch.look(now, is != LocalHealthIssue.NONE);
-        watch.judge(now, is != LocalHealthIssue.NONE);
-        is = doubt.look(now);
-        if (is != told) {
-            sink.changed(new Change(
-                    Kind.DOUBT, settings.name(), settings.number(), "doubt=" + is.word() + " before=" + told.word()));
-            told = is;
+        watch.checkSubjects(now, issue != LocalHealthIssue.NONE);
+        watch.failExpiredSuspects(now, issue != LocalHealthIssue.NONE);
+        issue = localHealth.evaluate(now);
+        if (issue != reportedIssue) {
+            port.changed(new Change(
+                    Kind.DOUBT,
+                    settings.name(),
+                    settings.number(),
+                    "doubt=" + issue.word() + " before=" + reportedIssue.word()));
+            reportedIssue = issue;
         }
     }
 
     /** Sends the heartbeats, probes and comparisons of one period. */
-    private void period() {
+    private void runPeriod() {
         periods++;
-        whoLeft = MAX_REPLIES_PER_PERIOD;
+        repliesLeft = MAX_REPLIES_PER_PERIOD;
         Set<Long> to = ownWatchers();
-        if (doubt.now() == LocalHealthIssue.UNHEARD || doubt.now() == LocalHealthIssue.MINORITY) {
+        if (localHealth.issue() == LocalHealthIssue.UNHEARD || localHealth.issue() == LocalHealthIssue.MINORITY) {
             for (int i = 0; i < EXTRA_TARGETS; i++) {
-                Member other = any();
+                Member other = randomPresentMember();
                 if (other != null) {
                     to.add(other.id);
                 }
@@ -192,7 +195,7 @@
             probe(to.isEmpty() ? settings.watchers() : 1);
         }
         if (periods % COMPARE_PERIODS == 0) {
-            compare(any());
+            compare(randomPresentMember());
             roster.forget(now);
         }
         if (!differing.isEmpty()) {
@@ -212,7 +215,7 @@
     }
 
     /** Returns a random present member; null if there is none. */
-    private Member any() {
+    private Member randomPresentMember() {
         int others = roster.present() - 1;
         int left = others == 0 ? 0 : random.nextInt(others);
         for (Member member : roster.all()) {
@@ -227,7 +230,7 @@
      * Adds the suspicion of the recipient, if there is one, to the records. A suspect is informed in each message,
      * because messages may be lost or overtake one another and the suspect has little time to refute.
      */
-    private List<Record> accused(Member to, Record... records) {
+    private List<Record> withSuspicion(Member to, Record... records) {
         List<Record> all = new ArrayList<>(List.of(records));
         if (to.state == State.SUSPECT) {
             all.add(roster.record(to));
@@ -237,10 +240,13 @@
 
     private void heartbeat(Member to) {
         boolean unknown = to.heardAt == 0 || periods % INTRODUCE_PERIODS == 0;
-        send(to.place, Message.Kind.HEARTBEAT, unknown, accused(to), true);
-        if (settings.toldPlaces() && to.toldPlace != null && !to.toldPlace.equals(to.place) && watch.isLate(to, now)) {
+        send(to.address, Message.Kind.HEARTBEAT, unknown, withSuspicion(to), true);
+        if (settings.toldPlaces()
+                && to.reportedAddress != null
+                && !to.reportedAddress.equals(to.address)
+                && watch.isLate(to, now)) {
             // Two routers that both moved would otherwise look for each other at the addresses of an outdated list.
-            send(to.toldPlace, Message.Kind.HEARTBEAT, true, List.of(), false);
+            send(to.reportedAddress, Message.Kind.HEARTBEAT, true, List.of(), false);
         }
     }
 
@@ -251,103 +257,109 @@
      * @param most the maximum number of addresses to contact
      */
     private void probe(int most) {
-        Map<InetSocketAddress, List<Record>> places = new LinkedHashMap<>();
+        Map<InetSocketAddress, List<Record>> addresses = new LinkedHashMap<>();
         for (int i = 0; i < settings.peers().size(); i++) {
             if (i != settings.number()) {
-                places.put(settings.peers().get(i), List.of());
+                addresses.put(settings.peers().get(i), List.of());
             }
         }
         for (Member member : roster.all()) {
             if (member.state.isGone()) {
                 // The record informs the member of the state in which this router holds it.
-                places.put(member.place, List.of(roster.record(member)));
+                addresses.put(member.address, List.of(roster.record(member)));
                 if (member.number >= 0
                         && member.number < settings.peers().size()
                         && member.number != settings.number()) {
-                    places.put(settings.peers().get(member.number), List.of(roster.record(member)));
+                    addresses.put(settings.peers().get(member.number), List.of(roster.record(member)));
                 }
             }
         }
         for (Member member : roster.all()) {
             if (!member.state.isGone()) {
-                places.remove(member.place);
+                addresses.remove(member.address);
             }
         }
-        List<InetSocketAddress> all = new ArrayList<>(places.keySet());
+        List<InetSocketAddress> all = new ArrayList<>(addresses.keySet());
         for (int i = 0; i < Math.min(most, all.size()); i++) {
-            InetSocketAddress to = all.get(Math.floorMod(probed++, all.size()));
-            remember(to);
-            send(to, Message.Kind.HEARTBEAT, true, places.get(to), true);
+            InetSocketAddress to = all.get(Math.floorMod(nextProbe++, all.size()));
+            rememberProbed(to);
+            send(to, Message.Kind.HEARTBEAT, true, addresses.get(to), true);
         }
     }
 
     /** Keeps the address among the most recently probed ones, dropping the oldest beyond the limit. */
-    private void remember(InetSocketAddress to) {
-        introducedTo.remove(to);
-        introducedTo.add(to);
-        if (introducedTo.size() > settings.watchers() + EXTRA_TARGETS) {
-            introducedTo.remove(introducedTo.iterator().next());
+    private void rememberProbed(InetSocketAddress to) {
+        recentlyProbed.remove(to);
+        recentlyProbed.add(to);
+        if (recentlyProbed.size() > settings.watchers() + EXTRA_TARGETS) {
+            recentlyProbed.remove(recentlyProbed.iterator().next());
         }
     }
 
     /** Sends the digests of all parts of the view to a member and requests its digests in return. */
     private void compare(Member with) {
         if (with != null) {
-            send(with.place, Message.Kind.COMPARE, false, parts.digests(), false, true);
+            send(with.address, Message.Kind.COMPARE, false, parts.digests(), false, true);
         }
     }
 
     private Introduction introduction() {
-        return new Introduction(self, own.life(), own.incarnation(), settings.number(), null, settings.name());
+        return new Introduction(
+                self, selfState.life(), selfState.incarnation(), settings.number(), null, settings.name());
     }
 
     /**
      * Sends a message.
      *
-     * @param introduces whether the message starts with this router's introduction
-     * @param news whether the remaining room is filled with updates from the gossip queue
+     * @param withIntroduction whether the message starts with this router's introduction
+     * @param withGossip whether the remaining room is filled with updates from the gossip queue
      */
-    private void send(InetSocketAddress to, Message.Kind kind, boolean introduces, List<Record> records, boolean news) {
-        send(to, kind, introduces, records, news, false);
+    private void send(
+            InetSocketAddress to,
+            Message.Kind kind,
+            boolean withIntroduction,
+            List<Record> records,
+            boolean withGossip) {
+        send(to, kind, withIntroduction, records, withGossip, false);
     }
 
     private void send(
             InetSocketAddress to,
             Message.Kind kind,
-            boolean introduces,
+            boolean withIntroduction,
             List<Record> records,
-            boolean news,
-            boolean asks) {
+            boolean withGossip,
+            boolean requestsDigests) {
         if (to == null) {
             return;
         }
         List<Record> all = new ArrayList<>();
-        if (introduces) {
+        if (withIntroduction) {
             all.add(introduction());
         }
         all.addAll(records);
-        if (news) {
+        if (withGossip) {
             int room = Message.MAX_BYTES
                     - Message.HEADER_BYTES
                     - all.stream().mapToInt(Record::bytes).sum();
-            all.addAll(roster.news.take(room, roster.present()));
+            all.addAll(roster.gossip.take(room, roster.present()));
         }
         byte[] bytes = new Message(
                         kind,
-                        doubt.isThere(),
-                        asks,
+                        localHealth.hasIssue(),
+                        requestsDigests,
                         tier,
                         self,
-                        own.life(),
-                        own.incarnation(),
-                        own.next(),
+                        selfState.life(),
+                        selfState.incarnation(),
+                        selfState.nextSequence(),
                         roster.digest(),
-                        (int) Math.round(Member.SILENT_FRACTION_SCALE * doubt.silentPart()),
+                        (int) Math.round(Member.SILENT_FRACTION_SCALE * localHealth.silentFraction()),
                         all)
                 .encode();
         count(Traffic.SENT, 1);
         count(Traffic.SENT_BYTES, bytes.length);
-        sink.send(to, bytes);
+        port.send(to, bytes);
     }
 
     /**
@@ -376,23 +388,23 @@
             count(Traffic.DROPPED_STRANGER, left ? 0 : 1);
             return;
         }
-        if (isAbsurd(message.life(), message.incarnation())) {
+        if (isImplausible(message.life(), message.incarnation())) {
             count(Traffic.DROPPED_ABSURD, 1);
             return;
         }
         if (message.sender() == self) {
-            own.spokenBy(message.life(), now);
+            selfState.handleMessageOfOwnName(message.life(), now);
             return;
         }
         Member sender = sender(message, from);
-        if (sender != null && isNews(sender, message, from)) {
+        if (sender != null && isNew(sender, message, from)) {
             count(Traffic.TAKEN, 1);
-            take(sender, message, from);
+            handleMessage(sender, message, from);
         }
     }
 
     /** Returns whether a life or an incarnation is outside the plausible range. */
-    private boolean isAbsurd(long aLife, int anIncarnation) {
+    private boolean isImplausible(long aLife, int anIncarnation) {
         return aLife <= 0
                 || aLife > now / MILLI + MAX_AHEAD_OF_CLOCK_MILLIS
                 || anIncarnation < 0
@@ -406,14 +418,19 @@
     private Member sender(Message message, InetSocketAddress from) {
         Member known = roster.find(message.sender());
         for (Record record : message.records()) {
-            if (record instanceof Introduction said && said.id() == message.sender()) {
+            if (record instanceof Introduction introduction && introduction.id() == message.sender()) {
                 if (message.kind() == Message.Kind.LEAVE && known == null) {
                     return null;
                 }
-                return roster.introduced(
+                return roster.handleIntroduction(
                         new Introduction(
-                                said.id(), message.life(), message.incarnation(), said.number(), null, said.name()),
-                        said.id(),
+                                introduction.id(),
+                                message.life(),
+                                message.incarnation(),
+                                introduction.number(),
+                                null,
+                                introduction.name()),
+                        introduction.id(),
                         true,
                         from,
                         now);
@@ -421,7 +438,7 @@
         }
         if (known == null) {
             count(Traffic.DROPPED_STRANGER, 1);
-            if (whoLeft-- > 0) {
+            if (repliesLeft-- > 0) {
                 send(from, Message.Kind.WHO, true, List.of(), false);
             }
         }
@@ -432,10 +449,10 @@
      * Returns whether a message is neither delayed nor duplicated and belongs to the known life of its sender or a
      * later one.
      */
-    private boolean isNews(Member sender, Message message, InetSocketAddress from) {
+    private boolean isNew(Member sender, Message message, InetSocketAddress from) {
         if (message.life() < sender.life) {
             count(Traffic.DROPPED_LATE, 1);
-            second(sender, message, from);
+            handleEarlierLife(sender, message, from);
             return false;
         }
         if (message.life() == sender.life && message.sequence() - sender.sequence <= 0) {
@@ -449,14 +466,14 @@
      * Handles a message of an earlier life of its sender. If such messages continue, a second process is running
      * under the same name; the process is informed of the newer life, and the duplicate name is reported.
      */
-    private void second(Member sender, Message message, InetSocketAddress from) {
+    private void handleEarlierLife(Member sender, Message message, InetSocketAddress from) {
         if (message.life() != sender.otherLife) {
             sender.otherLife = message.life();
             sender.otherSequence = message.sequence();
-            sender.others = 0;
+            sender.otherMessages = 0;
         } else if (message.sequence() - sender.otherSequence > 0) {
             sender.otherSequence = message.sequence();
-            sender.others++;
+            sender.otherMessages++;
         }
         send(
                 from,
@@ -464,74 +481,75 @@
                 true,
                 List.of(new Claim(sender.id, sender.life, sender.incarnation, sender.state, self)),
                 false);
-        if (now - sender.since > DELAYED_MESSAGE_NANOS
-                && sender.others >= DUPLICATE_NAME_MESSAGES
-                && (sender.twiceAt == 0 || now - sender.twiceAt > DUPLICATE_NAME_REPORT_NANOS)) {
-            sender.twiceAt = now;
-            sink.changed(new Change(
+        if (now - sender.stateSince > DELAYED_MESSAGE_NANOS
+                && sender.otherMessages >= DUPLICATE_NAME_MESSAGES
+                && (sender.duplicateReportedAt == 0
+                        || now - sender.duplicateReportedAt > DUPLICATE_NAME_REPORT_NANOS)) {
+            sender.duplicateReportedAt = now;
+            port.changed(new Change(
                     Kind.TWICE,
                     roster.name(sender.id),
                     sender.number,
-                    "life=" + sender.life + " place=" + sender.place + " other_life=" + sender.otherLife
+                    "life=" + sender.life + " place=" + sender.address + " other_life=" + sender.otherLife
                             + " other_place=" + from));
         }
     }
 
     /** Processes a new message of a known sender. */
-    private void take(Member sender, Message message, InetSocketAddress from) {
+    private void handleMessage(Member sender, Message message, InetSocketAddress from) {
         if (message.life() > sender.life) {
-            roster.take(sender, message.life(), message.incarnation(), State.ALIVE, sender.id, now);
+            roster.apply(sender, message.life(), message.incarnation(), State.ALIVE, sender.id, now);
         }
         if (message.kind() == Message.Kind.LEAVE) {
             sender.sequence = message.sequence();
-            message.records().forEach(record -> take(sender, record));
+            message.records().forEach(record -> handleRecord(sender, record));
             return;
         }
-        boolean soon = now - sender.heardAt <= sender.patience(settings.periodNanos()) && sender.heardAt != 0;
+        boolean soon = now - sender.heardAt <= sender.silenceTimeout(settings.periodNanos()) && sender.heardAt != 0;
         sender.sequence = message.sequence();
-        sender.place = from;
-        sender.hear(now, settings.periodNanos(), !doubt.isThere());
-        sender.silent = message.silent();
-        doubt.heard(sender);
+        sender.address = from;
+        sender.recordMessage(now, settings.periodNanos(), !localHealth.hasIssue());
+        sender.silentFraction = message.silentFraction();
+        localHealth.recordHeard(sender);
         if (message.incarnation() > sender.incarnation) {
-            roster.take(sender, message.life(), message.incarnation(), State.ALIVE, sender.id, now);
+            roster.apply(sender, message.life(), message.incarnation(), State.ALIVE, sender.id, now);
         } else if (sender.state == State.SUSPECT) {
-            answerFor(sender, sender.incarnation);
+            refuteFor(sender, sender.incarnation);
         } else if (sender.state == State.FAILED) {
             // A single message may have been delayed; a live process continues to send.
-            sender.afresh = soon ? sender.afresh + 1 : 1;
-            if (sender.afresh >= MESSAGES_TO_REVIVE) {
-                answerFor(sender, sender.incarnation);
+            sender.messagesSinceFailure = soon ? sender.messagesSinceFailure + 1 : 1;
+            if (sender.messagesSinceFailure >= MESSAGES_TO_REVIVE) {
+                refuteFor(sender, sender.incarnation);
             }
         }
         for (Record record : message.records()) {
-            take(sender, record);
+            handleRecord(sender, record);
         }
         if (message.kind() == Message.Kind.WHO) {
-            if (whoLeft-- > 0) {
+            if (repliesLeft-- > 0) {
                 send(from, Message.Kind.HEARTBEAT, true, List.of(), false);
             }
         } else if (message.kind() == Message.Kind.COMPARE) {
-            answerCompared(sender, message);
+            answerComparison(sender, message);
         }
-        boolean alike = message.digest() == roster.digest();
-        if (alike) {
-            doubt.unheard(false); // equal digests: the sender knows this router's current incarnation
+        boolean sameDigest = message.digest() == roster.digest();
+        if (sameDigest) {
+            localHealth.setUnheard(false); // equal digests: the sender knows this router's current incarnation
         }
-        sender.differs = alike ? 0 : sender.differs + 1;
-        if (sender.differs >= MAX_DIGEST_MISMATCHES) {
-            sender.differs = 0;
+        sender.digestMismatches = sameDigest ? 0 : sender.digestMismatches + 1;
+        if (sender.digestMismatches >= MAX_DIGEST_MISMATCHES) {
+            sender.digestMismatches = 0;
             differing.add(sender.id);
         }
     }
 
     /** Handles a claim about this router. */
-    private void about(long life, int incarnation, State state) {
-        if (own.told(life, incarnation, state, now)) {
+    private void handleClaimAboutSelf(long life, int incarnation, State state) {
+        if (selfState.handleClaim(life, incarnation, state, now)) {
             // Sends the refutation at once, because a suspect has little time to answer.
             count(Traffic.REFUTATIONS, 1);
             nextPeriod = now;
-            roster.news.add(self, introduction());
+            roster.gossip.add(self, introduction());
         }
     }
 
@@ -539,42 +557,44 @@
      * Refutes a claim about a member on the member's behalf, because this router hears it. The next higher
      * incarnation overrides the claim.
      */
-    private void answerFor(Member member, int above) {
-        if (above < MAX_INCARNATION) {
+    private void refuteFor(Member member, int claimedIncarnation) {
+        if (claimedIncarnation < MAX_INCARNATION) {
             count(Traffic.REFUTATIONS, 1);
-            roster.take(member, member.life, above + 1, State.ALIVE, self, now);
+            roster.apply(member, member.life, claimedIncarnation + 1, State.ALIVE, self, now);
         }
     }
 
     /** Processes one record of a message. */
-    private void take(Member sender, Record record) {
-        if (record instanceof Introduction said) {
-            if (said.id() == self) {
-                about(said.life(), said.incarnation(), State.ALIVE);
-            } else if (said.id() != sender.id && !isAbsurd(said.life(), said.incarnation())) {
-                Member member = roster.introduced(said, sender.id, false, null, now);
+    private void handleRecord(Member sender, Record record) {
+        if (record instanceof Introduction introduction) {
+            if (introduction.id() == self) {
+                handleClaimAboutSelf(introduction.life(), introduction.incarnation(), State.ALIVE);
+            } else if (introduction.id() != sender.id
+                    && !isImplausible(introduction.life(), introduction.incarnation())) {
+                Member member = roster.handleIntroduction(introduction, sender.id, false, null, now);
                 if (member != null) {
-                    member.toldPlace = said.place() == null ? member.toldPlace : said.place();
-                    roster.take(member, said.life(), said.incarnation(), State.ALIVE, sender.id, now);
+                    member.reportedAddress =
+                            introduction.address() == null ? member.reportedAddress : introduction.address();
+                    roster.apply(member, introduction.life(), introduction.incarnation(), State.ALIVE, sender.id, now);
                 }
             }
-        } else if (record instanceof Claim claim && isAbsurd(claim.life(), claim.incarnation())) {
+        } else if (record instanceof Claim claim && isImplausible(claim.life(), claim.incarnation())) {
             count(Traffic.DROPPED_ABSURD, 1);
         } else if (record instanceof Claim claim && claim.id() == self) {
-            about(claim.life(), claim.incarnation(), claim.state());
+            handleClaimAboutSelf(claim.life(), claim.incarnation(), claim.state());
         } else if (record instanceof Claim claim) {
-            claimed(sender, claim);
+            handleClaim(sender, claim);
         } else if (record instanceof Verdict verdict && verdict.id() == self) {
-            if (verdict.ear() != Message.Ear.HEARS && whoLeft-- > 0) {
-                send(sender.place, Message.Kind.HEARTBEAT, true, List.of(), true);
+            if (verdict.ear() != Message.Ear.HEARS && repliesLeft-- > 0) {
+                send(sender.address, Message.Kind.HEARTBEAT, true, List.of(), true);
             }
         } else if (record instanceof Verdict verdict) {
-            watch.said(sender, verdict, now);
+            watch.handleVerdict(sender, verdict, now);
         }
     }
 
     /** Handles a claim about another member. */
-    private void claimed(Member sender, Claim claim) {
+    private void handleClaim(Member sender, Claim claim) {
         Member member = roster.find(claim.id());
         if (member == null || !member.isOlderThan(claim.life(), claim.incarnation(), claim.state())) {
             return;
@@ -582,9 +602,9 @@
         // A suspicion is accepted even if the member was heard just now, since that message may have been its last. The
         // next message of the member refutes the suspicion.
         if (claim.state() == State.FAILED && claim.life() == member.life && watch.heardNow(member, now)) {
-            answerFor(member, claim.incarnation());
+            refuteFor(member, claim.incarnation());
         } else {
-            roster.take(
+            roster.apply(
                     member,
                     claim.life(),
                     claim.incarnation(),
@@ -597,12 +617,12 @@
     /**
      * Answers a comparison with the records of the parts that differ, and with digests if the sender requested them.
      */
-    private void answerCompared(Member sender, Message message) {
+    private void answerComparison(Member sender, Message message) {
         for (List<Record> answer : parts.answers(message, introduction())) {
-            send(sender.place, Message.Kind.HEARTBEAT, false, answer, false);
+            send(sender.address, Message.Kind.HEARTBEAT, false, answer, false);
         }
-        if (message.asks() && parts.differ(message)) {
-            send(sender.place, Message.Kind.COMPARE, false, parts.digests(), false);
+        if (message.requestsDigests() && parts.hasDifferences(message)) {
+            send(sender.address, Message.Kind.COMPARE, false, parts.digests(), false);
         }
     }
 
@@ -614,10 +634,10 @@
     public void leave(long nanos) {
         now = nanos;
         if (!left) {
-            Claim claim = new Claim(self, own.life(), own.incarnation(), State.LEFT, self);
-            for (InetSocketAddress place : placesToldOfAnEnd()) {
-                send(place, Message.Kind.LEAVE, false, List.of(claim), false);
-                send(place, Message.Kind.LEAVE, false, List.of(claim), false);
+            Claim claim = new Claim(self, selfState.life(), selfState.incarnation(), State.LEFT, self);
+            for (InetSocketAddress address : leaveTargets()) {
+                send(address, Message.Kind.LEAVE, false, List.of(claim), false);
+                send(address, Message.Kind.LEAVE, false, List.of(claim), false);
             }
             left = true;
         }
@@ -628,19 +648,19 @@
      * and the addresses probed recently. A router that shuts down before it has heard any other would otherwise be
      * declared failed by the routers that have already heard it.
      */
-    private Set<InetSocketAddress> placesToldOfAnEnd() {
+    private Set<InetSocketAddress> leaveTargets() {
         Set<Long> members = ownWatchers();
-        Set<InetSocketAddress> places = new LinkedHashSet<>();
+        Set<InetSocketAddress> addresses = new LinkedHashSet<>();
         for (Member member : roster.all()) {
             if (members.contains(member.id)
                     || member.state == State.ALIVE
                             && members.size() < settings.watchers() + EXTRA_TARGETS
                             && members.add(member.id)) {
-                places.add(member.place);
+                addresses.add(member.address);
             }
         }
-        places.addAll(introducedTo);
-        return places;
+        addresses.addAll(recentlyProbed);
+        return addresses;
     }
 
     /**
@@ -648,7 +668,7 @@
      * view.
      */
     public LocalHealthIssue doubt() {
-        return doubt.now();
+        return localHealth.issue();
     }
 
     /**
@@ -656,12 +676,12 @@
      * the same name had a later one.
      */
     public long life() {
-        return own.life();
+        return selfState.life();
     }
 
     /** Returns whether another process with the same router name has been detected. */
     public boolean isTwice() {
-        return own.isTwice();
+        return selfState.hasDuplicateName();
     }
 
     /** Returns the value of a counter since the start. */
@@ -687,13 +707,13 @@
                     new MemberView(
                             name,
                             member.number,
-                            member.place,
+                            member.address,
                             member.state,
                             reach,
                             member.life,
                             member.incarnation,
-                            member.since,
-                            roster.name(member.by),
+                            member.stateSince,
+                            roster.name(member.reportedBy),
                             member.heardAt));
         }
         return List.copyOf(views.values());
--- a/src/main/java/slateseam/tier/members/Message.java
+++ b/src/main/java/slateseam/tier/members/Message.java
@@ -28,27 +28,27 @@
  *
  * @param kind the purpose of the message
  * @param doubts whether the sender distrusts its own view
- * @param asks whether the sender requests digests in return
+ * @param requestsDigests whether the sender requests digests in return
  * @param tier the hash of the tier's name
  * @param sender the id of the sender
  * @param life the start time of the sender's process in Unix milliseconds
  * @param incarnation the incarnation of the sender
  * @param sequence the number of the message in the life of the sender
  * @param digest the digest of the present members in the view of the sender
- * @param silent the fraction of the tier that is silent for the sender, in units of 1/255
+ * @param silentFraction the fraction of the tier that is silent for the sender, in units of 1/255
  * @param records the payload
  */
 record Message(
         Kind kind,
         boolean doubts,
-        boolean asks,
+        boolean requestsDigests,
         int tier,
         long sender,
         long life,
         int incarnation,
         int sequence,
         int digest,
-        int silent,
+        int silentFraction,
         List<Record> records) {
     static final int MAX_BYTES = 256;
     static final byte MAGIC = (byte) 0xb7;
@@ -58,8 +58,8 @@
     private static final int CHECKSUM_END = 8;
     /** The bit of the flags for {@link #doubts}. */
     private static final int FLAG_DOUBTS = 1;
-    /** The bit of the flags for {@link #asks}. */
-    private static final int FLAG_ASKS = 2;
+    /** The bit of the flags for {@link #requestsDigests}. */
+    private static final int FLAG_REQUESTS_DIGESTS = 2;
 
     /** The purpose of a message; the ordinal is written to the wire. */
     enum Kind {
@@ -110,22 +110,22 @@
      * The name and address of a member, which claims that the member is alive.
      *
      * @param number the number in the list of peers; -1 if it is not known
-     * @param place the address of the member; null in an introduction of the sender, whose address is the datagram's
+     * @param address the address of the member; null in an introduction of the sender, whose address is the datagram's
      */
-    record Introduction(long id, long life, int incarnation, int number, InetSocketAddress place, String name)
+    record Introduction(long id, long life, int incarnation, int number, InetSocketAddress address, String name)
             implements Record {
         private static final int FIXED = 1 + 8 + 8 + 4 + 2 + 1 + 2 + 1;
 
         @Override
         public int bytes() {
             return FIXED
-                    + (place == null ? 0 : place.getAddress().getAddress().length)
+                    + (address == null ? 0 : address.getAddress().getAddress().length)
                     + name.getBytes(StandardCharsets.UTF_8).length;
         }
 
         @Override
         public void put(ByteBuffer out) {
-            byte[] ip = place == null ? new byte[0] : place.getAddress().getAddress();
+            byte[] ip = address == null ? new byte[0] : address.getAddress().getAddress();
             byte[] text = name.getBytes(StandardCharsets.UTF_8);
             out.put((byte) 2)
                     .putLong(id)
@@ -134,7 +134,7 @@
                     .putShort((short) number)
                     .put((byte) ip.length)
                     .put(ip)
-                    .putShort((short) (place == null ? 0 : place.getPort()))
+                    .putShort((short) (address == null ? 0 : address.getPort()))
                     .put((byte) text.length)
                     .put(text);
         }
@@ -196,7 +196,7 @@
     }
 
     /** Returns whether a datagram is a membership message, judged by its first byte. */
-    static boolean isOne(byte[] datagram) {
+    static boolean isMembershipMessage(byte[] datagram) {
         return datagram.length > 0 && datagram[0] == MAGIC;
     }
 
@@ -206,7 +206,7 @@
                 .put(MAGIC)
                 .put(VERSION)
                 .put((byte) kind.ordinal())
-                .put((byte) ((doubts ? FLAG_DOUBTS : 0) | (asks ? FLAG_ASKS : 0)))
+                .put((byte) ((doubts ? FLAG_DOUBTS : 0) | (requestsDigests ? FLAG_REQUESTS_DIGESTS : 0)))
                 .putInt(0)
                 .putInt(tier)
                 .putLong(sender)
@@ -214,7 +214,7 @@
                 .putInt(incarnation)
                 .putInt(sequence)
                 .putInt(digest)
-                .put((byte) silent);
+                .put((byte) silentFraction);
         records.forEach(record -> record.put(out));
         return out.putInt(4, checksum(out.array())).array();
     }
@@ -228,7 +228,7 @@
     }
 
     static Message decode(byte[] bytes) throws BadMessageException {
-        if (bytes.length < HEADER_BYTES || bytes.length > MAX_BYTES || !isOne(bytes)) {
+        if (bytes.length < HEADER_BYTES || bytes.length > MAX_BYTES || !isMembershipMessage(bytes)) {
             throw new BadMessageException("length");
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
@@ -251,7 +251,7 @@
             int incarnation = in.getInt();
             int sequence = in.getInt();
             int digest = in.getInt();
-            int silent = in.get() & 0xff;
+            int silentFraction = in.get() & 0xff;
             List<Record> records = new ArrayList<>();
             while (in.hasRemaining()) {
                 records.add(read(in));
@@ -259,14 +259,14 @@
             return new Message(
                     Kind.values()[kind],
                     (flags & FLAG_DOUBTS) != 0,
-                    (flags & FLAG_ASKS) != 0,
+                    (flags & FLAG_REQUESTS_DIGESTS) != 0,
                     tier,
                     sender,
                     life,
                     incarnation,
                     sequence,
                     digest,
-                    silent,
+                    silentFraction,
                     records);
         } catch (BufferUnderflowException | UnknownHostException | CharacterCodingException e) {
             throw new BadMessageException("records");
@@ -278,7 +278,8 @@
         byte kind = in.get();
         switch (kind) {
             case 1 -> {
-                return new Claim(in.getLong(), in.getLong(), in.getInt(), of(State.values(), in.get()), in.getLong());
+                return new Claim(
+                        in.getLong(), in.getLong(), in.getInt(), byOrdinal(State.values(), in.get()), in.getLong());
             }
             case 2 -> {
                 long id = in.getLong();
@@ -306,7 +307,7 @@
                         text);
             }
             case 3 -> {
-                return new Verdict(in.getLong(), in.getLong(), in.getInt(), of(Ear.values(), in.get()));
+                return new Verdict(in.getLong(), in.getLong(), in.getInt(), byOrdinal(Ear.values(), in.get()));
             }
             case 4 -> {
                 return new PartDigest(in.get() & 0xff, in.getInt());
@@ -324,7 +325,7 @@
         return bytes;
     }
 
-    private static <T> T of(T[] all, int ordinal) throws BadMessageException {
+    private static <T> T byOrdinal(T[] all, int ordinal) throws BadMessageException {
         if (ordinal < 0 || ordinal >= all.length) {
             throw new BadMessageException("value");
         }
--- a/src/main/java/slateseam/tier/members/Parts.java
+++ b/src/main/java/slateseam/tier/members/Parts.java
@@ -44,7 +44,7 @@
     }
 
     /** Returns whether any part of another router's view differs from the part here. */
-    boolean differ(Message theirs) {
+    boolean hasDifferences(Message theirs) {
         return theirs.records().stream().anyMatch(this::differs);
     }
 
@@ -56,12 +56,12 @@
      */
     List<List<Record>> answers(Message theirs, Introduction own) {
         List<Member> known = new ArrayList<>();
-        boolean ownToo = false;
-        List<List<Member>> members = differ(theirs) ? byPart() : List.of();
+        boolean includeOwn = false;
+        List<List<Member>> members = hasDifferences(theirs) ? byPart() : List.of();
         for (Record record : theirs.records()) {
             if (differs(record)) {
                 int part = ((PartDigest) record).part();
-                ownToo |= Roster.part(self) == part;
+                includeOwn |= Roster.part(self) == part;
                 known.addAll(members.get(part));
             }
         }
@@ -69,7 +69,7 @@
         int at = known.isEmpty() ? 0 : random.nextInt(known.size());
         Collections.rotate(known, -at);
         Stream<Record> records = known.stream().map(roster::record);
-        return packed(ownToo ? Stream.concat(Stream.of(own), records) : records);
+        return pack(includeOwn ? Stream.concat(Stream.of(own), records) : records);
     }
 
     /** Returns the members of each part. */
@@ -85,7 +85,7 @@
     }
 
     /** Distributes records over datagrams in order and drops the records beyond the limit. */
-    private static List<List<Record>> packed(Stream<Record> all) {
+    private static List<List<Record>> pack(Stream<Record> all) {
         List<List<Record>> datagrams = new ArrayList<>();
         int room = 0;
         for (Record record : (Iterable<Record>) all::iterator) {
--- a/src/main/java/slateseam/tier/members/Roster.java
+++ b/src/main/java/slateseam/tier/members/Roster.java
@@ -36,9 +36,9 @@
 
     private final MembersSettings settings;
     private final long self;
-    private final MembersPort sink;
+    private final MembersPort port;
     private final Map<Long, Member> members = new HashMap<>();
-    private final Map<Long, Tombstone> forgotten = new LinkedHashMap<>() {
+    private final Map<Long, Tombstone> tombstones = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
@@ -61,7 +61,7 @@
     private int numbersVersion;
 
     final Rings rings;
-    final GossipQueue news = new GossipQueue();
+    final GossipQueue gossip = new GossipQueue();
     /**
      * The digest of the present members of each part: the XOR of a hash of each member's id, life and incarnation.
      */
@@ -69,10 +69,10 @@
     /** Whether the rejection of a member for lack of room has been reported. */
     private boolean full;
 
-    Roster(MembersSettings settings, long self, MembersPort sink) {
+    Roster(MembersSettings settings, long self, MembersPort port) {
         this.settings = settings;
         this.self = self;
-        this.sink = sink;
+        this.port = port;
         rings = new Rings(settings.watchers());
         rings.add(self);
     }
@@ -118,13 +118,13 @@
      * Adds a member at a life and incarnation to the digest of its part, or removes it if it is already included: the
      * operation is its own inverse.
      */
-    void fold(long id, long life, int incarnation) {
+    void toggleInDigest(long id, long life, int incarnation) {
         digests[part(id)] ^= (int) Ids.mix(Ids.mix(id ^ life) + incarnation);
     }
 
-    private void fold(Member member) {
+    private void toggleInDigest(Member member) {
         if (!member.state.isGone()) {
-            fold(member.id, member.life, member.incarnation);
+            toggleInDigest(member.id, member.life, member.incarnation);
         }
     }
 
@@ -132,70 +132,75 @@
      * Handles an introduction and adds the member to the view if it is new.
      *
      * @param by the id of the router that sent the introduction
-     * @param itself whether the member introduces itself
+     * @param introducesItself whether the member introduces itself
      * @param from the address of the sender if the member introduces itself, otherwise null
      * @return the member, or null if the introduction is rejected: the name does not match the id, the introduction
      *     is outdated, or the view is full
      */
-    Member introduced(Introduction said, long by, boolean itself, InetSocketAddress from, long now) {
-        Member member = members.get(said.id());
+    Member handleIntroduction(
+            Introduction introduction, long by, boolean introducesItself, InetSocketAddress from, long now) {
+        Member member = members.get(introduction.id());
         if (member != null) {
-            if (member.name == null || member.number != said.number()) {
-                member.name = said.name();
-                member.number = said.number();
+            if (member.name == null || member.number != introduction.number()) {
+                member.name = introduction.name();
+                member.number = introduction.number();
                 numbers = null;
             }
             return member;
         }
-        Tombstone over = forgotten.get(said.id());
-        if (Ids.of(said.name()) != said.id() || over != null && !itself && said.life() <= over.life) {
+        Tombstone tombstone = tombstones.get(introduction.id());
+        if (Ids.of(introduction.name()) != introduction.id()
+                || tombstone != null && !introducesItself && introduction.life() <= tombstone.life) {
             return null;
         }
         if (members.size() >= settings.most()) {
             if (!full) {
                 full = true;
-                sink.changed(new Change(Kind.FULL, said.name(), said.number(), "most=" + settings.most()));
+                port.changed(
+                        new Change(Kind.FULL, introduction.name(), introduction.number(), "most=" + settings.most()));
             }
             return null;
         }
-        forgotten.remove(said.id());
-        member = new Member(said.id());
-        member.name = said.name();
-        member.number = said.number();
-        InetSocketAddress listed =
-                said.number() >= 0 && said.number() < settings.peers().size()
-                        ? settings.peers().get(said.number())
-                        : null;
-        member.place = from != null ? from : listed != null ? listed : settings.toldPlaces() ? said.place() : null;
-        member.lives(said.life(), said.incarnation(), now);
-        member.since = now;
-        member.by = by;
-        if (over != null && said.life() <= over.life) {
-            member.sequence = over.sequence; // messages sent before the member was forgotten count as delayed
+        tombstones.remove(introduction.id());
+        member = new Member(introduction.id());
+        member.name = introduction.name();
+        member.number = introduction.number();
+        InetSocketAddress configured = introduction.number() >= 0
+                        && introduction.number() < settings.peers().size()
+                ? settings.peers().get(introduction.number())
+                : null;
+        member.address = from != null
+                ? from
+                : configured != null ? configured : settings.toldPlaces() ? introduction.address() : null;
+        member.startLife(introduction.life(), introduction.incarnation(), now);
+        member.stateSince = now;
+        member.reportedBy = by;
+        if (tombstone != null && introduction.life() <= tombstone.life) {
+            member.sequence = tombstone.sequence; // messages sent before the member was forgotten count as delayed
         }
-        members.put(said.id(), member);
-        rings.add(said.id());
-        fold(member);
-        news.add(said.id(), introduction(member));
-        sink.changed(new Change(Kind.JOINED, member.name, member.number, why(member) + " before=none"));
+        members.put(introduction.id(), member);
+        rings.add(introduction.id());
+        toggleInDigest(member);
+        gossip.add(introduction.id(), introduction(member));
+        port.changed(new Change(Kind.JOINED, member.name, member.number, describe(member) + " before=none"));
         return member;
     }
 
     /** Returns the introduction of a member as this router knows it. */
     Introduction introduction(Member member) {
-        return new Introduction(member.id, member.life, member.incarnation, member.number, member.place, member.name);
+        return new Introduction(member.id, member.life, member.incarnation, member.number, member.address, member.name);
     }
 
     /** Returns the record that informs others of the current state of a member. */
     Record record(Member member) {
         return member.state == State.ALIVE && member.name != null
                 ? introduction(member)
-                : new Claim(member.id, member.life, member.incarnation, member.state, member.by);
+                : new Claim(member.id, member.life, member.incarnation, member.state, member.reportedBy);
     }
 
     /** Returns the cause of a change in the form used by {@link Change#why}. */
-    private String why(Member member) {
-        return "life=" + member.life + " incarnation=" + member.incarnation + " by=" + name(member.by);
+    private String describe(Member member) {
+        return "life=" + member.life + " incarnation=" + member.incarnation + " by=" + name(member.reportedBy);
     }
 
     /**
@@ -204,15 +209,15 @@
      * @param by the id of the router that made the claim
      * @return whether the claim was applied
      */
-    boolean take(Member member, long life, int incarnation, State state, long by, long now) {
+    boolean apply(Member member, long life, int incarnation, State state, long by, long now) {
         if (!member.isOlderThan(life, incarnation, state)) {
             return false;
         }
-        State was = member.state;
-        boolean anew = life > member.life;
-        fold(member);
-        if (anew) {
-            member.lives(life, incarnation, now);
+        State previous = member.state;
+        boolean newLife = life > member.life;
+        toggleInDigest(member);
+        if (newLife) {
+            member.startLife(life, incarnation, now);
         }
         if (member.incarnation != incarnation) {
             member.incarnation = incarnation;
@@ -220,42 +225,42 @@
             member.silentSince = 0;
         }
         member.state = state;
-        member.by = by;
-        if (was != state || anew) {
-            member.since = now;
-            member.afresh = 0;
+        member.reportedBy = by;
+        if (previous != state || newLife) {
+            member.stateSince = now;
+            member.messagesSinceFailure = 0;
         }
-        suspects += (state == State.SUSPECT ? 1 : 0) - (was == State.SUSPECT ? 1 : 0);
-        if (was.isGone() && !state.isGone()) {
+        suspects += (state == State.SUSPECT ? 1 : 0) - (previous == State.SUSPECT ? 1 : 0);
+        if (previous.isGone() && !state.isGone()) {
             gone.remove(member);
             rings.add(member.id);
             member.watchedSince = now;
-        } else if (!was.isGone() && state.isGone()) {
+        } else if (!previous.isGone() && state.isGone()) {
             gone.add(member);
             rings.remove(member.id);
         }
-        if (was == State.SUSPECT && state == State.ALIVE && by != self) {
-            member.vouchedFor(now);
+        if (previous == State.SUSPECT && state == State.ALIVE && by != self) {
+            member.recordVouch(now);
         }
         member.suspectUntil = state == State.SUSPECT ? now + settings.suspicionNanos() : 0;
-        fold(member);
-        news.add(member.id, record(member));
-        tell(member, was, anew);
+        toggleInDigest(member);
+        gossip.add(member.id, record(member));
+        report(member, previous, newLife);
         return true;
     }
 
     /** Reports a change of a member's state or life to the port. */
-    private void tell(Member member, State was, boolean anew) {
-        if (was == member.state && !anew) {
+    private void report(Member member, State previous, boolean newLife) {
+        if (previous == member.state && !newLife) {
             return;
         }
         Kind kind = switch (member.state) {
-            case ALIVE -> anew ? Kind.JOINED : was == State.SUSPECT ? Kind.CLEARED : Kind.RETURNED;
+            case ALIVE -> newLife ? Kind.JOINED : previous == State.SUSPECT ? Kind.CLEARED : Kind.RETURNED;
             case SUSPECT -> Kind.SUSPECTED;
             case FAILED -> Kind.FAILED;
             case LEFT -> Kind.LEFT;
         };
-        sink.changed(new Change(kind, name(member.id), member.number, why(member) + " before=" + was.word()));
+        port.changed(new Change(kind, name(member.id), member.number, describe(member) + " before=" + previous.word()));
     }
 
     /** Removes the members that failed or left longer ago than the retention period. */
@@ -265,17 +270,20 @@
         }
         List<Member> over = new ArrayList<>();
         for (Member member : members.values()) {
-            if (member.state.isGone() && now - member.since >= settings.forgetNanos()) {
+            if (member.state.isGone() && now - member.stateSince >= settings.forgetNanos()) {
                 over.add(member);
             }
         }
         for (Member member : over) {
             members.remove(member.id);
             gone.remove(member);
-            forgotten.put(member.id, new Tombstone(member.life, member.sequence));
+            tombstones.put(member.id, new Tombstone(member.life, member.sequence));
             full = false;
-            sink.changed(new Change(
-                    Kind.FORGOTTEN, name(member.id), member.number, why(member) + " before=" + member.state.word()));
+            port.changed(new Change(
+                    Kind.FORGOTTEN,
+                    name(member.id),
+                    member.number,
+                    describe(member) + " before=" + member.state.word()));
         }
     }
 
--- a/src/main/java/slateseam/tier/members/SelfState.java
+++ b/src/main/java/slateseam/tier/members/SelfState.java
@@ -21,35 +21,35 @@
     private final long self;
     private final long startedAt;
     private final Roster roster;
-    private final LocalHealth doubt;
-    private final MembersPort sink;
+    private final LocalHealth localHealth;
+    private final MembersPort port;
     private long life;
     private int incarnation;
     private int sequence;
     /** The time of the last refutation of a suspicion of this router. */
-    private long answeredAt;
+    private long refutedAt;
 
     /** Whether the life has been replaced by a later one since the start. */
-    private boolean raised;
+    private boolean lifeRaised;
     /** Whether another process with the same name has been detected. */
-    private boolean twice;
+    private boolean duplicateName;
     /** The time at which the duplicate name was last reported; 0 if it has not been reported. */
-    private long twiceToldAt;
+    private long duplicateReportedAt;
 
     /**
      * Starts a new life, identified by the milliseconds of its start.
      *
      * @param now Unix time in nanoseconds
      */
-    SelfState(MembersSettings settings, long self, long now, Roster roster, LocalHealth doubt, MembersPort sink) {
+    SelfState(MembersSettings settings, long self, long now, Roster roster, LocalHealth localHealth, MembersPort port) {
         this.settings = settings;
         this.self = self;
         this.startedAt = now;
         this.roster = roster;
-        this.doubt = doubt;
-        this.sink = sink;
+        this.localHealth = localHealth;
+        this.port = port;
         life = now / MILLI;
-        roster.fold(self, life, incarnation);
+        roster.toggleInDigest(self, life, incarnation);
     }
 
     /** Returns the current life in Unix milliseconds. */
@@ -63,13 +63,13 @@
     }
 
     /** Returns the sequence number of the next message. */
-    int next() {
+    int nextSequence() {
         return ++sequence;
     }
 
     /** Returns whether another process with the same name has been detected. */
-    boolean isTwice() {
-        return twice;
+    boolean hasDuplicateName() {
+        return duplicateName;
     }
 
     /**
@@ -78,27 +78,27 @@
      * @return whether the claim was a suspicion or a failure that this router now refutes with a later incarnation or
      *     life
      */
-    boolean told(long ofLife, int anIncarnation, State state, long now) {
+    boolean handleClaim(long ofLife, int anIncarnation, State state, long now) {
         if (ofLife != life) {
             // The claiming router does not know this life, although it has been announced for long enough.
             if (ofLife < life && state.isGone() && now - startedAt > REFUTATION_SPREAD_NANOS) {
-                doubt.unheard(true);
+                localHealth.setUnheard(true);
             }
-            other(ofLife, state, false, now);
+            handleOtherLife(ofLife, state, false, now);
         } else if (state == State.ALIVE && anIncarnation >= incarnation) {
-            is(life, anIncarnation);
-            doubt.unheard(false);
-        } else if (state.isGone() && anIncarnation < incarnation && now - answeredAt > REFUTATION_SPREAD_NANOS) {
-            doubt.unheard(true); // the refutation has not reached the other members
+            setIdentity(life, anIncarnation);
+            localHealth.setUnheard(false);
+        } else if (state.isGone() && anIncarnation < incarnation && now - refutedAt > REFUTATION_SPREAD_NANOS) {
+            localHealth.setUnheard(true); // the refutation has not reached the other members
         } else if (state != State.ALIVE && anIncarnation >= incarnation) {
-            answeredAt = now;
+            refutedAt = now;
             if (state.isGone()) {
-                doubt.unheard(true);
+                localHealth.setUnheard(true);
             }
             if (anIncarnation >= Members.MAX_INCARNATION) {
-                lives(life + 1);
+                startLaterLife(life + 1);
             } else {
-                is(life, anIncarnation + 1);
+                setIdentity(life, anIncarnation + 1);
             }
             return true;
         }
@@ -110,42 +110,42 @@
      *
      * @param ofLife the life in the message
      */
-    void spokenBy(long ofLife, long now) {
-        other(ofLife, State.ALIVE, true, now);
+    void handleMessageOfOwnName(long ofLife, long now) {
+        handleOtherLife(ofLife, State.ALIVE, true, now);
     }
 
     /**
      * Handles a different life under this router's name: either an earlier process whose clock was ahead, or a second
      * process that is still running.
      *
-     * @param speaks whether the other life itself sent a message, as opposed to a claim by another router
+     * @param sentMessage whether the other life itself sent a message, as opposed to a claim by another router
      */
-    private void other(long ofLife, State state, boolean speaks, long now) {
-        boolean over = state.isGone(); // the process of that life has ended
-        if (ofLife > life && (over || !raised && now - startedAt < LIFE_RAISE_NANOS)) {
-            raised = true;
-            lives(ofLife + 1);
-        } else if (ofLife > life || speaks && ofLife != life) {
-            twice = true;
-            if (twiceToldAt == 0 || now - twiceToldAt > Members.DUPLICATE_NAME_REPORT_NANOS) {
-                twiceToldAt = now;
-                sink.changed(new Change(
+    private void handleOtherLife(long ofLife, State state, boolean sentMessage, long now) {
+        boolean ended = state.isGone(); // the process of that life has ended
+        if (ofLife > life && (ended || !lifeRaised && now - startedAt < LIFE_RAISE_NANOS)) {
+            lifeRaised = true;
+            startLaterLife(ofLife + 1);
+        } else if (ofLife > life || sentMessage && ofLife != life) {
+            duplicateName = true;
+            if (duplicateReportedAt == 0 || now - duplicateReportedAt > Members.DUPLICATE_NAME_REPORT_NANOS) {
+                duplicateReportedAt = now;
+                port.changed(new Change(
                         Kind.TWICE, settings.name(), settings.number(), "life=" + life + " other_life=" + ofLife));
             }
         }
     }
 
     /** Continues in a later life. */
-    private void lives(long later) {
-        is(later, 0);
+    private void startLaterLife(long later) {
+        setIdentity(later, 0);
         sequence = 0;
     }
 
     /** Sets the life and incarnation and updates the digest of the present members, which includes them. */
-    private void is(long aLife, int anIncarnation) {
-        roster.fold(self, life, incarnation);
+    private void setIdentity(long aLife, int anIncarnation) {
+        roster.toggleInDigest(self, life, incarnation);
         life = aLife;
         incarnation = anIncarnation;
-        roster.fold(self, life, incarnation);
+        roster.toggleInDigest(self, life, incarnation);
     }
 }
--- a/src/main/java/slateseam/tier/members/Watch.java
+++ b/src/main/java/slateseam/tier/members/Watch.java
@@ -30,12 +30,12 @@
     private final long self;
     private final Roster roster;
     private final BiConsumer<Member, Verdict> tell;
-    /** The members that this router monitors, for version {@link #seen} of the rings. */
+    /** The members that this router monitors, for version {@link #ringsVersion} of the rings. */
     private List<Member> subjects = new ArrayList<>();
 
-    private int seen = -1;
+    private int ringsVersion = -1;
     /** The time of the last check of all monitored members. */
-    private long time;
+    private long lastCheckAt;
 
     /**
      * Creates a failure detector.
@@ -51,15 +51,16 @@
 
     /** Returns the members that this router monitors now. */
     List<Member> subjects() {
-        if (seen != roster.rings.version()) {
-            seen = roster.rings.version();
+        if (ringsVersion != roster.rings.version()) {
+            ringsVersion = roster.rings.version();
             List<Member> found = new ArrayList<>();
             for (long id : roster.rings.subjects(self)) {
                 Member member = roster.find(id);
                 if (member != null) {
                     // A newly monitored member is not held responsible for its silence before the monitoring started.
-                    member.watchedSince =
-                            subjects.contains(member) ? member.watchedSince : Math.max(member.watchedSince, time);
+                    member.watchedSince = subjects.contains(member)
+                            ? member.watchedSince
+                            : Math.max(member.watchedSince, lastCheckAt);
                     found.add(member);
                 }
             }
@@ -70,7 +71,7 @@
 
     /** Returns whether a member has been silent for longer than its own time-out, which follows its usual gaps. */
     boolean isSilent(Member member, long now) {
-        return now - Math.max(member.heardAt, member.watchedSince) > member.patience(settings.periodNanos());
+        return now - Math.max(member.heardAt, member.watchedSince) > member.silenceTimeout(settings.periodNanos());
     }
 
     /**
@@ -91,7 +92,7 @@
 
     /** Returns whether messages of a member arrive here, whether or not this router monitors it. */
     boolean hears(Member member, long now) {
-        return member.heardAt != 0 && now - member.heardAt <= member.patience(settings.periodNanos());
+        return member.heardAt != 0 && now - member.heardAt <= member.silenceTimeout(settings.periodNanos());
     }
 
     /**
@@ -100,28 +101,28 @@
      *
      * @param doubts whether this router distrusts its own view; it then suspects nobody
      */
-    void look(long now, boolean doubts) {
-        time = now;
+    void checkSubjects(long now, boolean doubts) {
+        lastCheckAt = now;
         for (Member member : List.copyOf(subjects())) {
             if (!isSilent(member, now)) {
                 continue;
             }
             member.silentSince = member.silentSince == 0 ? now : member.silentSince;
-            if (now - member.toldAt >= settings.periodNanos()) {
-                member.toldAt = now;
-                Verdict mine =
+            if (now - member.verdictSentAt >= settings.periodNanos()) {
+                member.verdictSentAt = now;
+                Verdict ownVerdict =
                         new Verdict(member.id, member.life, member.incarnation, doubts ? Ear.UNSURE : Ear.SILENT);
                 for (long other : roster.watchers(member.id, self)) {
-                    tell.accept(roster.find(other), mine);
+                    tell.accept(roster.find(other), ownVerdict);
                 }
                 // The member is informed too: it may not know yet that this router monitors it, and replies.
-                tell.accept(member, mine);
+                tell.accept(member, ownVerdict);
             }
             if (!doubts
                     && member.state == State.ALIVE
                     && now - member.silentSince >= settings.periodNanos()
                     && isUnheard(member, now)) {
-                roster.take(member, member.life, member.incarnation, State.SUSPECT, self, now);
+                roster.apply(member, member.life, member.incarnation, State.SUSPECT, self, now);
             }
         }
     }
@@ -154,7 +155,7 @@
     }
 
     /** Handles the verdict of another router on a member. */
-    void said(Member by, Verdict verdict, long now) {
+    void handleVerdict(Member by, Verdict verdict, long now) {
         Member member = roster.find(verdict.id());
         if (member == null
                 || verdict.life() != member.life
@@ -175,7 +176,7 @@
      *
      * @param doubts whether this router distrusts its own view; it then declares nobody failed
      */
-    void judge(long now, boolean doubts) {
+    void failExpiredSuspects(long now, boolean doubts) {
         if (roster.suspects() == 0) {
             return;
         }
@@ -189,7 +190,7 @@
             }
         }
         for (Member member : over) {
-            roster.take(member, member.life, member.incarnation, State.FAILED, self, now);
+            roster.apply(member, member.life, member.incarnation, State.FAILED, self, now);
         }
     }
 
@@ -197,7 +198,7 @@
      * Restarts the silence of all members from now, when this router trusts its view again, so that nobody is
      * suspected for messages that were missed in the meantime.
      */
-    void listenAnew(long now) {
+    void restartSilence(long now) {
         for (Member member : roster.all()) {
             member.watchedSince = now;
             member.silentSince = 0;
@@ -209,8 +210,8 @@
      *
      * @param nanos the length of the pause
      */
-    void shift(long nanos, long now) {
-        time = now;
+    void compensatePause(long nanos, long now) {
+        lastCheckAt = now;
         for (Member member : roster.all()) {
             member.watchedSince = now;
             member.silentSince = 0;
--- a/src/test/java/slateseam/simulate/TierBugs.java
+++ b/src/test/java/slateseam/simulate/TierBugs.java
@@ -19,12 +19,12 @@
                 bug(
                         "a refutation is ignored",
                         "Members",
-                        "            answerFor(sender, sender.incarnation);\n        } else if (sender.state == State.FAILED)",
+                        "            refuteFor(sender, sender.incarnation);\n        } else if (sender.state == State.FAILED)",
                         "        } else if (sender.state == State.FAILED)"),
                 bug(
                         "a suspicion of itself is not answered",
                         "SelfState",
-                        "                is(life, anIncarnation + 1);\n",
+                        "                setIdentity(life, anIncarnation + 1);\n",
                         ""),
                 bug(
                         "a pause is not noticed",
@@ -35,7 +35,7 @@
                         "an old life is believed",
                         "Members",
                         "        if (message.life() < sender.life) {\n            count(Traffic.DROPPED_LATE, 1);\n"
-                                + "            second(sender, message, from);\n            return false;\n        }\n",
+                                + "            handleEarlierLife(sender, message, from);\n            return false;\n        }\n",
                         ""),
                 bug(
                         "a suspicion never ends",
@@ -51,7 +51,7 @@
                 bug(
                         "the smaller part does not know it",
                         "LocalHealth",
-                        "silentPart > MINORITY_THRESHOLD || !most",
+                        "silentFraction > MINORITY_THRESHOLD || !majority",
                         "false"),
                 bug(
                         "one that left comes back in the same life",
@@ -66,19 +66,19 @@
                 bug(
                         "a later life by its own name is not noticed",
                         "SelfState",
-                        "            raised = true;\n            lives(ofLife + 1);",
-                        "            raised = true;"),
+                        "            lifeRaised = true;\n            startLaterLife(ofLife + 1);",
+                        "            lifeRaised = true;"),
                 bug(
                         "whoever watches anew accuses for the time before",
                         "Watch",
-                        "member.watchedSince = subjects.contains(member) ? member.watchedSince : Math.max(member.watchedSince, time);",
+                        "member.watchedSince = subjects.contains(member) ? member.watchedSince : Math.max(member.watchedSince, lastCheckAt);",
                         ""),
-                bug("nobody is told that it is unheard", "LocalHealth", "unheard = so;", ""),
+                bug("nobody is told that it is unheard", "LocalHealth", "unheard = value;", ""),
                 bug(
                         "an end is not believed",
                         "Members",
                         "        if (message.kind() == Message.Kind.LEAVE) {\n            sender.sequence = message.sequence();\n"
-                                + "            message.records().forEach(record -> take(sender, record));",
+                                + "            message.records().forEach(record -> handleRecord(sender, record));",
                         "        if (message.kind() == Message.Kind.LEAVE) {\n            sender.sequence = message.sequence();"));
     }
 
