--- a/src/main/java/slateseam/tier/members/Rings.java
+++ b/src/main/java/slateseam/tier/members/Rings.java
@@ -176,9 +176,7 @@
         for (int i = 0; i < rings.size(); i++) {
             Ring ring = rings.get(i);
             int at = ring.before(Ids.ringPosition(i, id));
-            // A member skips at most one watcher for each earlier ring, so members further back cannot be watched by
-            // this
-            // one.
+            // A member skips at most one successor for each earlier ring, so members further back have other watchers.
             for (int steps = 0; steps < Math.min(size() - 1, rings.size() + 1); steps++) {
                 long before = ring.ids[at];
                 long[] watchers = before == id ? new long[0] : watchers(before);
--- a/src/test/java/slateseam/simulate/tier/MembersDaysTest.java
+++ b/src/test/java/slateseam/simulate/tier/MembersDaysTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Days of drawn faults; some thousands more are played by {@code simulate tier}. */
+/** Plays membership under random faults for several seeds; the command {@code simulate tier} plays thousands more. */
 class MembersDaysTest {
     @Test
     void noRuleBreaksInDaysOfFaults() {
@@ -14,7 +14,7 @@
         assertThat(TierDays.play(1, 400, lines::add)).as(lines.toString()).isZero();
     }
 
-    /** Two plays of one seed are the same. */
+    /** The same seed gives the same run twice. */
     @Test
     void aSeedIsADay() {
         MembersDay one = new MembersDay(77);
@@ -24,7 +24,10 @@
         assertThat(one.seen()).isEqualTo(other.seen()).isNotEmpty();
     }
 
-    /** See MembersHardCasesTest.oneThatEndsBeforeItHasHeardAnybodyIsKnownToHaveLeft. */
+    /**
+     * A member that ended 65 ms after its start, before it had heard any other, was taken for failed; see {@link
+     * MembersHardCasesTest}.
+     */
     @Test
     void allThatCouldHearItKnowThatAMemberEndedAtSeed760430() {
         List<String> lines = new ArrayList<>();
--- a/src/test/java/slateseam/simulate/tier/MembersEveryCutTest.java
+++ b/src/test/java/slateseam/simulate/tier/MembersEveryCutTest.java
@@ -14,20 +14,24 @@
 import slateseam.tier.members.State;
 
 /**
- * Every pattern of one-sided cuts among few members, none left out: three in two patterns one after another, four in one. Held against
- * each: whoever ways lead to and back from, over others, counts as alive; who declares one failed does not doubt itself and sees a majority; and
- * when all cuts are over all see the same.
+ * Plays every pattern of one-way network cuts among few members: all pairs of consecutive patterns for three members,
+ * and all single patterns for four. In each run, a member with paths to and from an observer, possibly through
+ * others, must not be declared failed by the observer; a router that declares a member failed must be able to hear a
+ * majority; and after all cuts have ended, all members must have the same view and trust it.
  */
 class MembersEveryCutTest {
     private static final long SECOND = 1_000_000_000L;
+    /** The time for which each pattern of cuts lasts. */
     private static final long HELD = 6 * SECOND;
+    /** The time after the last cut in which the views must become equal. */
     private static final long HEALED = 8 * SECOND;
 
+    /** Returns the number of one-way links between {@code n} members. */
     private static int ways(int n) {
         return n * (n - 1);
     }
 
-    /** The way that a bit of a pattern stands for. */
+    /** Returns the sender and the receiver of the link that a bit of a pattern stands for. */
     private static int[] way(int n, int bit) {
         int from = bit / (n - 1);
         int to = bit % (n - 1);
@@ -42,7 +46,7 @@
         }
     }
 
-    /** Whether messages get from each to each other, by way of others too. */
+    /** Returns which members can reach which others under a pattern, directly or through others. */
     private static boolean[][] reaches(int n, int pattern) {
         boolean[][] reaches = new boolean[n][n];
         for (int bit = 0; bit < ways(n); bit++) {
@@ -58,7 +62,7 @@
         return reaches;
     }
 
-    /** What broke in one play; null if nothing did. */
+    /** Plays consecutive patterns and describes the first violation; returns null if there is none. */
     private static String broken(int n, int... patterns) {
         MembersWorld world = new MembersWorld(n, 1, Ways.USUAL, UnaryOperator.identity());
         IntStream.range(0, n).forEach(world::start);
@@ -74,7 +78,7 @@
                         return text(
                                 n,
                                 patterns,
-                                "router " + i + " takes " + of + " for dead, though ways lead there and back");
+                                "router " + i + " holds " + of + " as failed although paths lead in both directions");
                     }
                 }
             }
@@ -85,7 +89,7 @@
                         && one.change().why().contains(" by=" + MembersWorld.name(one.by()) + " "))
                 .filter(one -> 2 * heard(n, one.by(), patterns) <= n)
                 .findFirst()
-                .map(one -> text(n, patterns, one + ": it can hear no majority"))
+                .map(one -> text(n, patterns, one + ": the declaring router cannot hear a majority"))
                 .orElse(null);
         if (decided != null) {
             return decided;
@@ -93,10 +97,10 @@
         world.run(HEALED);
         boolean one = MembersFigures.isOne(world)
                 && IntStream.range(0, n).allMatch(i -> world.members(i).doubt() == LocalHealthIssue.NONE);
-        return one ? null : text(n, patterns, "after all cuts not all see the same");
+        return one ? null : text(n, patterns, "the views differ or are distrusted after all cuts have ended");
     }
 
-    /** How many it can hear at the most in any of the patterns, itself among them. */
+    /** Returns the largest number of members, including itself, that a member can hear in any of the patterns. */
     private static int heard(int n, int by, int... patterns) {
         int most = 0;
         for (int pattern : patterns) {
--- a/src/test/java/slateseam/simulate/tier/MembersHardCasesTest.java
+++ b/src/test/java/slateseam/simulate/tier/MembersHardCasesTest.java
@@ -21,7 +21,7 @@
 import slateseam.tier.members.State;
 import slateseam.tier.members.Traffic;
 
-/** What views come to when parts of the tier fail; each case for several seeds. */
+/** The views of the members under failures of processes and links; most cases are played for several seeds. */
 class MembersHardCasesTest {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
@@ -73,9 +73,9 @@
     }
 
     /**
-     * What happened: at seed 760430 of {@code simulate tier} router-4 said that it ended and nobody knew; all took it for failed 2.2 s later.
-     * Why: it ended 65 ms after its start, when it had introduced itself to all and heard nobody, and told its end only to those
-     * it had heard. What showed it: the views' changes, JOINED at four routers at 28,506 ms, no LEFT after 28,567 ms, FAILED at 30,713 ms.
+     * A router that shut down 65 ms after its start, when it had introduced itself to all others but had heard none,
+     * announced its shutdown only to the members it had heard. The others declared it failed 2.2 s later (seed 760430
+     * of {@code simulate tier}). The announcement must also reach the routers to which it had introduced itself.
      */
     @Test
     void oneThatEndsBeforeItHasHeardAnybodyIsKnownToHaveLeft() {
@@ -128,7 +128,7 @@
         assertThat(seen(world, Kind.SUSPECTED)).isEmpty();
     }
 
-    /** 0.8 s of every 1.5 s for a minute: never declared failed. */
+    /** A router that is paused for 0.8 s of every 1.5 s during a minute is never declared failed. */
     @Test
     void oneThatStandsStillAgainAndAgainIsNeverDeclaredFailed() {
         for (long seed = 0; seed < SEEDS; seed++) {
@@ -148,7 +148,10 @@
         }
     }
 
-    /** Paused 30 s and back: the others know it as failed once, it accuses nobody and doubts itself meanwhile. */
+    /**
+     * After a pause of 30 s the other members have declared the router failed once; the resumed router suspects
+     * nobody and distrusts its own view until it hears a majority again.
+     */
     @Test
     void oneThatWakesAfterALongPauseAccusesNobody() {
         for (long seed = 0; seed < SEEDS; seed++) {
@@ -203,7 +206,7 @@
         }
     }
 
-    /** A cut shows as reach and never as death. */
+    /** A one-way cut changes how a member is reached, but the member is not declared failed. */
     @Test
     void aOneSidedCutIsNoDeath() {
         for (long seed = 0; seed < SEEDS; seed++) {
@@ -225,7 +228,7 @@
         }
     }
 
-    /** Each hears one other and is heard by another: all are there. */
+    /** Each member hears one other and is heard by the remaining one, which is enough for all to count as present. */
     @Test
     void aCircleOfOneSidedWaysIsEnough() {
         for (long seed = 0; seed < SEEDS; seed++) {
@@ -239,7 +242,10 @@
         }
     }
 
-    /** Nothing leaves it: the others cannot tell it from a dead one, and it is told so by what it hears. */
+    /**
+     * If no message leaves a router, the others cannot distinguish it from a dead one; the router learns from the
+     * messages it receives that it is unheard.
+     */
     @Test
     void oneThatIsNotHeardKnowsIt() {
         for (long seed = 0; seed < SEEDS; seed++) {
@@ -277,8 +283,9 @@
         for (long seed = 0; seed < SEEDS; seed++) {
             for (int n : new int[] {4, 5, 9, 20}) {
                 MembersWorld world = world(n, seed, Ways.USUAL);
-                // Up to nine all watch all; among more the smaller part is known for sure where it is well below a
-                // half.
+                // With up to nine members all monitor all; with more, only a part well below one half is certain to
+                // detect
+                // that it is the minority.
                 int fewer = n <= 9 ? n / 2 : n * 3 / 10;
                 world.halve(fewer, true);
                 world.run(20 * SECOND);
@@ -354,7 +361,10 @@
         }
     }
 
-    /** Its clock was ahead in its life before: the others tell it, and it takes a later life than its clock gave it. */
+    /**
+     * If a router's clock was set back between two lives, the others report the earlier life to it, and it takes a
+     * later life than its clock gives.
+     */
     @Test
     void aClockThatWasSetBackBetweenTwoLivesIsMadeGood() {
         for (long seed = 0; seed < SEEDS; seed++) {
@@ -378,7 +388,7 @@
     @Test
     void allThatStartAtOnceWithOldListsFindOneAnother() {
         for (long seed = 0; seed < 5; seed++) {
-            // Of the hundred that the list names a third is not there any more.
+            // One third of the hundred configured peers is no longer running.
             MembersWorld world = new MembersWorld(100, seed, Ways.USUAL.losing(0.05), UnaryOperator.identity());
             IntStream.range(0, 100).filter(i -> i % 3 != 0).forEach(world::start);
             world.run(5 * SECOND);
@@ -414,7 +424,7 @@
                     .anyMatch(by -> by != 1);
             assertThat(seen(world, Kind.TWICE)).hasSizeLessThan(12);
             assertThat(world.members(1).isTwice()).isTrue();
-            // The later of the two is the member, in one life.
+            // The later of the two processes is the member, in a single life.
             assertThat(seen(world, Kind.JOINED).stream()
                             .filter(one ->
                                     one.by() == 0 && one.change().member().equals("router-2")))
@@ -423,7 +433,7 @@
         }
     }
 
-    /** A thousand names come and go in a day: nothing grows. */
+    /** A thousand different names join and disappear; the view does not grow. */
     @Test
     void whoIsGoneForGoodIsForgotten() {
         MembersWorld world = new MembersWorld(
@@ -483,7 +493,10 @@
         assertThat(seen(world, Kind.FULL)).isNotEmpty();
     }
 
-    /** A tier of thousands has room; names without end fill no more than the bound, which is told once, and each costs no more. */
+    /**
+     * A tier of thousands fits into the view; an unlimited number of names does not exceed the bound, which is
+     * reported once, and the memory for each member stays bounded.
+     */
     @Test
     void thousandsAreTakenAndNoMoreThanTheBound() {
         int tier = 3_000;
@@ -504,7 +517,7 @@
         assertThat(entries).isLessThan(45L * MembersSettings.MOST);
     }
 
-    /** What a router says first to another that its list has. */
+    /** Returns the first datagram that a router sends to a configured peer. */
     private static byte[] firstWord(String name, InetSocketAddress to) {
         byte[][] said = new byte[1][];
         new Members(
@@ -519,14 +532,14 @@
 
                             @Override
                             public void changed(Change change) {
-                                // only its word is wanted
+                                // only the datagram is of interest
                             }
                         })
                 .tick(MembersWorld.BEGIN);
         return said[0];
     }
 
-    /** Bits that flip, a tier of another name, an absurd life, and what an earlier life sent: dropped, counted, nothing changed. */
+    /** Datagrams with flipped bits or of an earlier life are dropped and counted, and the view does not change. */
     @Test
     void whatCannotBeIsDroppedAndCounted() {
         MembersWorld world = world(3, 7, Ways.USUAL);
@@ -544,7 +557,7 @@
 
                     @Override
                     public void changed(slateseam.tier.members.Change change) {
-                        // Not looked at.
+                        // The changes are not examined.
                     }
                 });
         other.tick(MembersWorld.BEGIN - SECOND);
--- a/src/test/java/slateseam/tier/members/RingsTest.java
+++ b/src/test/java/slateseam/tier/members/RingsTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Who watches whom, held against the plain definition while members come and go. */
+/**
+ * Compares the watchers and subjects of {@link Rings} with a direct implementation of their definition while members
+ * join and leave.
+ */
 final class RingsTest {
     private static final int STEPS = 300;
     private static final int MOST_IDS = 40;
@@ -67,7 +70,10 @@
         return false;
     }
 
-    /** On each ring in turn the first behind the member that is none of its watchers yet, until all others are. */
+    /**
+     * Returns the watchers by definition: on each ring in turn, the first successor of the member that does not watch
+     * it yet.
+     */
     private static long[] watchers(Set<Long> there, int rings, long id) {
         Set<Long> watchers = new LinkedHashSet<>();
         for (int i = 0; i < rings && watchers.size() < there.size() - 1; i++) {
