--- a/src/test/java/slateseam/simulate/tier/MembersDaysTest.java
+++ b/src/test/java/slateseam/simulate/tier/MembersDaysTest.java
@@ -9,14 +9,14 @@
 /** Plays membership under random faults for several seeds; the command {@code simulate tier} plays thousands more. */
 class MembersDaysTest {
     @Test
-    void noRuleBreaksInDaysOfFaults() {
+    void noRuleIsViolatedUnderRandomFaults() {
         List<String> lines = new ArrayList<>();
         assertThat(TierDays.play(1, 400, lines::add)).as(lines.toString()).isZero();
     }
 
     /** The same seed gives the same run twice. */
     @Test
-    void aSeedIsADay() {
+    void sameSeedGivesTheSameRun() {
         MembersDay one = new MembersDay(77);
         MembersDay other = new MembersDay(77);
         assertThat(one.play()).isNull();
@@ -29,7 +29,7 @@
      * MembersHardCasesTest}.
      */
     @Test
-    void allThatCouldHearItKnowThatAMemberEndedAtSeed760430() {
+    void shutdownRightAfterStartIsKnownAtSeed760430() {
         List<String> lines = new ArrayList<>();
         assertThat(TierDays.play(760_430, 760_430, lines::add))
                 .as(lines.toString())
--- a/src/test/java/slateseam/simulate/tier/MembersHardCasesTest.java
+++ b/src/test/java/slateseam/simulate/tier/MembersHardCasesTest.java
@@ -78,7 +78,7 @@
      * of {@code simulate tier}). The announcement must also reach the routers to which it had introduced itself.
      */
     @Test
-    void oneThatEndsBeforeItHasHeardAnybodyIsKnownToHaveLeft() {
+    void shutdownBeforeHearingAnyMemberIsKnownAsLeft() {
         for (long seed = 0; seed < SEEDS; seed++) {
             MembersWorld world = world(5, seed, Ways.USUAL);
             world.leave(3);
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void aDeathIsKnownToAllAndNobodyElseIsAccused() {
+    void deadMemberIsDeclaredFailedByAllAndNoOtherIsSuspected() {
         for (long seed = 0; seed < SEEDS; seed++) {
             for (int n : new int[] {3, 5, 9, 20}) {
                 MembersWorld world = world(n, seed, Ways.USUAL);
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void aPlannedEndIsNoDeath() {
+    void announcedShutdownIsNoFailure() {
         MembersWorld world = world(5, 1, Ways.USUAL);
         world.leave(2);
         world.run(2 * SECOND);
@@ -130,7 +130,7 @@
 
     /** A router that is paused for 0.8 s of every 1.5 s during a minute is never declared failed. */
     @Test
-    void oneThatStandsStillAgainAndAgainIsNeverDeclaredFailed() {
+    void repeatedlyPausedMemberIsNeverDeclaredFailed() {
         for (long seed = 0; seed < SEEDS; seed++) {
             MembersWorld world = world(5, seed, Ways.USUAL);
             for (int i = 0; i < 40; i++) {
@@ -153,7 +153,7 @@
      * nobody and distrusts its own view until it hears a majority again.
      */
     @Test
-    void oneThatWakesAfterALongPauseAccusesNobody() {
+    void memberResumedAfterALongPauseSuspectsNobody() {
         for (long seed = 0; seed < SEEDS; seed++) {
             MembersWorld world = world(5, seed, Ways.USUAL);
             world.pause(1, true);
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void thoseWhoAreLeftAsTheFewerDeclareNobodyFailed() {
+    void minorityDeclaresNobodyFailed() {
         for (long seed = 0; seed < SEEDS; seed++) {
             MembersWorld world = world(5, seed, Ways.USUAL);
             for (int i : new int[] {0, 2, 3}) {
@@ -190,7 +190,7 @@
     }
 
     @Test
-    void allThatStandStillTogetherAccuseNobody() {
+    void membersPausedTogetherSuspectNobody() {
         for (long seed = 0; seed < SEEDS; seed++) {
             MembersWorld world = world(5, seed, Ways.USUAL);
             IntStream.range(0, 5).forEach(i -> world.pause(i, true));
@@ -208,7 +208,7 @@
 
     /** A one-way cut changes how a member is reached, but the member is not declared failed. */
     @Test
-    void aOneSidedCutIsNoDeath() {
+    void oneWayCutIsNoFailure() {
         for (long seed = 0; seed < SEEDS; seed++) {
             MembersWorld world = world(5, seed, Ways.USUAL);
             world.cut(0, 1, true);
@@ -230,7 +230,7 @@
 
     /** Each member hears one other and is heard by the remaining one, which is enough for all to count as present. */
     @Test
-    void aCircleOfOneSidedWaysIsEnough() {
+    void circleOfOneWayLinksKeepsAllPresent() {
         for (long seed = 0; seed < SEEDS; seed++) {
             MembersWorld world = world(3, seed, Ways.USUAL);
             for (int i = 0; i < 3; i++) {
@@ -247,7 +247,7 @@
      * messages it receives that it is unheard.
      */
     @Test
-    void oneThatIsNotHeardKnowsIt() {
+    void unheardMemberKnowsThatItIsUnheard() {
         for (long seed = 0; seed < SEEDS; seed++) {
             MembersWorld world = world(5, seed, Ways.USUAL);
             world.mute(1, true);
@@ -264,7 +264,7 @@
     }
 
     @Test
-    void oneThatHearsNobodyAccusesNobody() {
+    void memberThatHearsNobodySuspectsNobody() {
         for (long seed = 0; seed < SEEDS; seed++) {
             MembersWorld world = world(5, seed, Ways.USUAL);
             world.deaf(1, true);
@@ -279,7 +279,7 @@
     }
 
     @Test
-    void twoHalvesAreOneAgainWithNobodyLost() {
+    void partitionedTierMergesWithoutLosingMembers() {
         for (long seed = 0; seed < SEEDS; seed++) {
             for (int n : new int[] {4, 5, 9, 20}) {
                 MembersWorld world = world(n, seed, Ways.USUAL);
@@ -305,7 +305,7 @@
     }
 
     @Test
-    void lostDoubledSwappedAndLateMessagesAreNoDeath() {
+    void lostDuplicatedReorderedAndDelayedMessagesAreNoFailure() {
         for (long seed = 0; seed < SEEDS; seed++) {
             MembersWorld world = world(9, seed, Ways.USUAL);
             for (Ways ways : List.of(
@@ -326,7 +326,7 @@
     }
 
     @Test
-    void aWayThatStallsAndHandsOnAllAtOnceIsNoDeath() {
+    void stalledLinkThatDeliversAllAtOnceIsNoFailure() {
         for (long seed = 0; seed < SEEDS; seed++) {
             MembersWorld world = world(5, seed, Ways.USUAL);
             for (int other : new int[] {0, 2, 3}) {
@@ -343,7 +343,7 @@
     }
 
     @Test
-    void oneThatReturnsIsTheSameInANewLife() {
+    void restartedMemberIsTheSameMemberInANewLife() {
         for (long seed = 0; seed < SEEDS; seed++) {
             for (long away : new long[] {300 * MS, 3_000 * MS, 60_000 * MS}) {
                 MembersWorld world = world(5, seed, Ways.USUAL);
@@ -366,7 +366,7 @@
      * later life than its clock gives.
      */
     @Test
-    void aClockThatWasSetBackBetweenTwoLivesIsMadeGood() {
+    void clockSetBackBetweenTwoLivesIsCorrected() {
         for (long seed = 0; seed < SEEDS; seed++) {
             MembersWorld world = new MembersWorld(5, seed, Ways.USUAL, UnaryOperator.identity());
             world.clock(1, 5 * SECOND);
@@ -386,7 +386,7 @@
     }
 
     @Test
-    void allThatStartAtOnceWithOldListsFindOneAnother() {
+    void membersStartedTogetherWithOutdatedPeerListsFindOneAnother() {
         for (long seed = 0; seed < 5; seed++) {
             // One third of the hundred configured peers is no longer running.
             MembersWorld world = new MembersWorld(100, seed, Ways.USUAL.losing(0.05), UnaryOperator.identity());
@@ -409,7 +409,7 @@
     }
 
     @Test
-    void twoByOneNameAreBothToldAndNothingFlaps() {
+    void duplicateNameIsReportedByBothAndStatesDoNotFlap() {
         for (long seed = 0; seed < SEEDS; seed++) {
             MembersWorld world = world(5, seed, Ways.USUAL);
             world.run(5 * SECOND);
@@ -435,7 +435,7 @@
 
     /** A thousand different names join and disappear; the view does not grow. */
     @Test
-    void whoIsGoneForGoodIsForgotten() {
+    void failedMembersAreForgotten() {
         MembersWorld world = new MembersWorld(
                 3,
                 1,
@@ -468,7 +468,7 @@
     }
 
     @Test
-    void noMoreThanSoManyAreTaken() {
+    void viewDoesNotExceedTheConfiguredMaximum() {
         MembersWorld world = new MembersWorld(
                 1,
                 1,
@@ -498,12 +498,13 @@
      * reported once, and the memory for each member stays bounded.
      */
     @Test
-    void thousandsAreTakenAndNoMoreThanTheBound() {
+    void thousandsOfMembersFitAndTheBoundHolds() {
         int tier = 3_000;
         MembersWorld world = new MembersWorld(1, 1, Ways.USUAL, UnaryOperator.identity());
         world.start(0);
         for (int number = 1; number <= MembersSettings.MOST + 1_000; number++) {
-            world.inject(0, new InetSocketAddress("127.0.0.1", number), firstWord("guest-" + number, world.place(0)));
+            world.inject(
+                    0, new InetSocketAddress("127.0.0.1", number), firstDatagram("guest-" + number, world.place(0)));
             if (number == tier) {
                 assertThat(world.members(0).view()).hasSize(tier);
                 assertThat(seen(world, Kind.FULL)).isEmpty();
@@ -518,8 +519,8 @@
     }
 
     /** Returns the first datagram that a router sends to a configured peer. */
-    private static byte[] firstWord(String name, InetSocketAddress to) {
-        byte[][] said = new byte[1][];
+    private static byte[] firstDatagram(String name, InetSocketAddress to) {
+        byte[][] sent = new byte[1][];
         new Members(
                         MembersSettings.usual("tier", name, 1, List.of(to)),
                         MembersWorld.BEGIN,
@@ -527,7 +528,7 @@
                         new MembersPort() {
                             @Override
                             public void send(InetSocketAddress place, byte[] datagram) {
-                                said[0] = datagram;
+                                sent[0] = datagram;
                             }
 
                             @Override
@@ -536,12 +537,12 @@
                             }
                         })
                 .tick(MembersWorld.BEGIN);
-        return said[0];
+        return sent[0];
     }
 
     /** Datagrams with flipped bits or of an earlier life are dropped and counted, and the view does not change. */
     @Test
-    void whatCannotBeIsDroppedAndCounted() {
+    void invalidDatagramsAreDroppedAndCounted() {
         MembersWorld world = world(3, 7, Ways.USUAL);
         MembersWorld heard = new MembersWorld(2, 1, Ways.USUAL, UnaryOperator.identity());
         byte[][] kept = new byte[1][];
--- a/src/test/java/slateseam/tier/members/RingsTest.java
+++ b/src/test/java/slateseam/tier/members/RingsTest.java
@@ -21,39 +21,39 @@
  */
 final class RingsTest {
     private static final int STEPS = 300;
-    private static final int MOST_IDS = 40;
+    private static final int MAX_MEMBERS = 40;
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 8})
-    void watchersAreTheNextOnEachRingThatDoNotWatchYetAndSubjectsTheirInverse(int number) {
+    void watchersAndSubjectsMatchTheDefinition(int number) {
         SplittableRandom random = new SplittableRandom(number);
         Rings rings = new Rings(number);
-        Set<Long> there = new TreeSet<>();
+        Set<Long> present = new TreeSet<>();
         List<Long> ids = new ArrayList<>();
-        random.longs(MOST_IDS).forEach(ids::add);
+        random.longs(MAX_MEMBERS).forEach(ids::add);
         rings.add(ids.get(0));
-        there.add(ids.get(0));
+        present.add(ids.get(0));
         for (int step = 0; step < STEPS; step++) {
             int version = rings.version();
-            long id = ids.get(1 + random.nextInt(MOST_IDS - 1));
-            boolean comes = random.nextInt(3) > 0;
-            boolean changed = comes ? there.add(id) : there.remove(id);
-            if (comes) {
+            long id = ids.get(1 + random.nextInt(MAX_MEMBERS - 1));
+            boolean joins = random.nextInt(3) > 0;
+            boolean changed = joins ? present.add(id) : present.remove(id);
+            if (joins) {
                 rings.add(id);
             } else {
                 rings.remove(id);
             }
 
-            assertThat(rings.size()).isEqualTo(there.size());
+            assertThat(rings.size()).isEqualTo(present.size());
             assertThat(rings.version() != version).isEqualTo(changed);
             Map<Long, long[]> watchers = new HashMap<>();
             for (long one : ids) {
-                watchers.put(one, watchers(there, number, one));
+                watchers.put(one, watchers(present, number, one));
                 assertThat(rings.watchers(one)).as("watchers of %s", one).containsExactly(watchers.get(one));
             }
-            for (long one : there) {
+            for (long one : present) {
                 Set<Long> subjects = new TreeSet<>();
-                there.stream()
+                present.stream()
                         .filter(other -> other != one && contains(watchers.get(other), one))
                         .forEach(subjects::add);
                 assertThat(rings.subjects(one)).as("subjects of %s", one).containsExactlyInAnyOrderElementsOf(subjects);
@@ -74,11 +74,11 @@
      * Returns the watchers by definition: on each ring in turn, the first successor of the member that does not watch
      * it yet.
      */
-    private static long[] watchers(Set<Long> there, int rings, long id) {
+    private static long[] watchers(Set<Long> present, int rings, long id) {
         Set<Long> watchers = new LinkedHashSet<>();
-        for (int i = 0; i < rings && watchers.size() < there.size() - 1; i++) {
+        for (int i = 0; i < rings && watchers.size() < present.size() - 1; i++) {
             NavigableMap<Long, Long> ring = new TreeMap<>(Long::compareUnsigned);
-            for (long one : there) {
+            for (long one : present) {
                 ring.put(Ids.ringPosition(i, one), one);
             }
             List<Long> after =
