--- a/src/main/java/slateseam/tier/members/Member.java
+++ b/src/main/java/slateseam/tier/members/Member.java
@@ -80,7 +80,7 @@
 
     /** The sequence number of the last message of that other process. */
     int otherSequence;
-    /** The number of messages of that other process received in sequence. */
+    /** The number of messages of that other process received in sequence after its first. */
     int otherMessages;
     /** The time at which the duplicate name was last reported; 0 if it has not been reported. */
     long duplicateReportedAt;
@@ -99,7 +99,8 @@
 
     /**
      * Returns whether a claim supersedes the known state: a later life, a higher incarnation of the same life, or a
-     * later {@link State} of the same incarnation.
+     * later {@link State} of the same incarnation. Within a life, a departure supersedes every other claim and is
+     * never superseded.
      */
     boolean isOlderThan(long aLife, int anIncarnation, State aState) {
         if (aLife == life && (state == State.LEFT || aState == State.LEFT)) {
--- a/src/main/java/slateseam/tier/members/Members.java
+++ b/src/main/java/slateseam/tier/members/Members.java
@@ -64,7 +64,8 @@
      */
     private static final int MAX_REPLIES_PER_PERIOD = 5;
     /**
-     * Additional members that a router contacts while it is in a minority or unheard, and when it shuts down.
+     * Additional members that a router contacts while it is in a minority or unheard, and when it shuts down; also
+     * the number by which the addresses in {@link #recentlyProbed} may exceed the number of watchers.
      */
     private static final int EXTRA_TARGETS = 2;
     /**
