--- a/src/main/java/slateseam/tier/members/LocalHealth.java
+++ b/src/main/java/slateseam/tier/members/LocalHealth.java
@@ -9,34 +9,45 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Whether this router trusts what it sees: it was not paused, hears most, and is heard. */
+/**
+ * Decides whether this router may trust its own view of the tier: the process was not paused, hears a majority of the
+ * members, and is heard by others. While the view is not trusted, this router neither suspects nor declares failed
+ * any member.
+ */
 final class LocalHealth {
-    /** Between two ticks; after a longer time this router stood still. */
-    private static final long STOOD_STILL = 300_000_000L;
+    /** A gap between two ticks that is longer than this (300 ms) counts as a pause of this process. */
+    private static final long PAUSE_THRESHOLD_NANOS = 300_000_000L;
 
-    /** Half, but for what is lost when it is told in a byte. */
-    private static final double LEAST_MINORITY = 0.495;
+    /**
+     * The silent fraction above which this router counts itself as part of a minority: one half, less the rounding
+     * loss of sending the fraction in one byte.
+     */
+    private static final double MINORITY_THRESHOLD = 0.495;
 
     private final MembersSettings settings;
     private final long self;
     private final Roster roster;
     private final Watch watch;
-    private final Set<Long> heardSince = new HashSet<>();
-    /** Those that were heard lately, and some that were not since. */
+    /** The members heard since this process resumed after a pause; filled only while {@link #paused}. */
+    private final Set<Long> heardSincePause = new HashSet<>();
+    /** The members heard recently; members that have fallen silent are removed at the next evaluation. */
     private final List<Member> recent = new ArrayList<>();
-    /** Whom each watches, by their numbers; worked out for {@link #watchedVersion} of the rings. */
-    private final Map<Long, List<Member>> watched = new HashMap<>();
+    /**
+     * The members that each router monitors, by the id of the monitoring router; computed for version {@link
+     * #subjectsVersion} of the rings.
+     */
+    private final Map<Long, List<Member>> subjectsByWatcher = new HashMap<>();
 
-    private int watchedVersion = -1;
-    private int searches;
+    private int subjectsVersion = -1;
+    private int searchCount;
     private long lastTick;
     private boolean heardAny;
     private boolean paused;
     private boolean unheard;
-    /** Which part of the tier is silent: as it is here, evened out with what others say. */
-    private double silentPart;
+    /** The fraction of the tier that is silent, averaged over this router's observation and the reports of others. */
+    private double silentFraction;
 
-    private LocalHealthIssue doubt = LocalHealthIssue.STARTING;
+    private LocalHealthIssue issue = LocalHealthIssue.STARTING;
 
     LocalHealth(MembersSettings settings, long self, Roster roster, Watch watch, long now) {
         this.settings = settings;
@@ -46,94 +57,104 @@
         lastTick = now;
     }
 
-    LocalHealthIssue now() {
-        return doubt;
+    /** Returns the result of the last evaluation. */
+    LocalHealthIssue issue() {
+        return issue;
     }
 
-    boolean isThere() {
-        return doubt != LocalHealthIssue.NONE;
+    /** Returns whether this router currently distrusts its view. */
+    boolean hasIssue() {
+        return issue != LocalHealthIssue.NONE;
     }
 
-    /** Time goes on; a gap in it was a pause of this router. */
+    /** Advances the clock. A long gap since the previous tick means that this process was paused. */
     void tick(long now) {
         long gap = now - lastTick;
         lastTick = now;
-        if (gap > STOOD_STILL) {
+        if (gap > PAUSE_THRESHOLD_NANOS) {
             paused = true;
-            heardSince.clear();
-            watch.shift(gap, now);
+            heardSincePause.clear();
+            watch.compensatePause(gap, now);
         }
     }
 
-    void heard(Member sender) {
+    /** Records that a message of a member arrived. */
+    void recordHeard(Member sender) {
         heardAny = true;
         if (paused) {
-            heardSince.add(sender.id);
+            heardSincePause.add(sender.id);
         }
-        if (!sender.isRecent) {
-            sender.isRecent = true;
+        if (!sender.isRecentlyHeard) {
+            sender.isRecentlyHeard = true;
             recent.add(sender);
         }
     }
 
-    /** Others take this router for gone, or see it again. */
-    void unheard(boolean so) {
-        unheard = so;
+    /** Records whether other routers hold this router as failed or left. */
+    void setUnheard(boolean value) {
+        unheard = value;
     }
 
     /**
-     * Guards against the few that each watches, of whom chance may let most lie behind a cut, or few: with what others say, who hear
-     * others say it, it comes to what all on this side of the cut see together.
+     * Averages the silent fraction with the fractions that other members report. This router monitors only a few
+     * members, and by chance most or few of these may lie behind a network partition. The members it hears average
+     * over their own peers in turn, so the value converges to what all routers on this side of the partition observe
+     * together.
      */
-    private void evenOut(double own, long now) {
+    private void averageSilentFraction(double ownFraction, long now) {
         recent.removeIf(member -> {
-            member.isRecent = watch.heardNow(member, now);
-            return !member.isRecent;
+            member.isRecentlyHeard = watch.heardNow(member, now);
+            return !member.isRecentlyHeard;
         });
         int sum = 0;
         for (Member member : recent) {
-            sum += member.silent;
+            sum += member.silentFraction;
         }
-        silentPart = (own + (double) sum / Member.MOST_SILENT) / (1 + recent.size());
+        silentFraction = (ownFraction + (double) sum / Member.SILENT_FRACTION_SCALE) / (1 + recent.size());
     }
 
-    /** Whom each watches, of all that are there. */
-    private Map<Long, List<Member>> watched() {
-        if (watchedVersion != roster.rings.version()) {
-            watchedVersion = roster.rings.version();
-            watched.clear();
+    /** Returns the members that each router monitors, by the id of the monitoring router. */
+    private Map<Long, List<Member>> subjectsByWatcher() {
+        if (subjectsVersion != roster.rings.version()) {
+            subjectsVersion = roster.rings.version();
+            subjectsByWatcher.clear();
             for (Member member : roster.all()) {
                 if (!member.state.isGone()) {
                     for (long by : roster.rings.watchers(member.id)) {
-                        watched.computeIfAbsent(by, x -> new ArrayList<>()).add(member);
+                        subjectsByWatcher
+                                .computeIfAbsent(by, x -> new ArrayList<>())
+                                .add(member);
                     }
                 }
             }
         }
-        return watched;
+        return subjectsByWatcher;
     }
 
     /**
-     * Whether there are more than half of so many, as far as this router can know: those that it hears, those that one of these watches
-     * and does not suspect, and so on. Guards against one whom nobody on this side of a cut watches, so that nobody misses it.
+     * Returns whether a majority of the members is reachable as far as this router can tell. The search starts from
+     * the members that this router hears and goes on to the members that are monitored by a reached member and not
+     * suspected. Without it, a member that no router on this side of a partition monitors would be missed by nobody.
+     *
+     * @param base the number of members of which a majority is required
      */
-    private boolean reachesMost(long base, long now) {
-        searches++;
+    private boolean reachesMajority(long base, long now) {
+        searchCount++;
         int alive = 1;
         Deque<Long> open = new ArrayDeque<>(List.of(self));
         for (Member member : roster.all()) {
             if (!member.state.isGone() && !watch.isLate(member, now) && member.heardAt != 0) {
-                member.reachedBy = searches;
+                member.lastReachedBySearch = searchCount;
                 open.add(member.id);
                 alive += member.state == State.ALIVE ? 1 : 0;
             }
         }
         while (!open.isEmpty() && alive * 2L <= base) {
-            for (Member member : watched().getOrDefault(open.poll(), List.of())) {
-                if (member.reachedBy != searches
+            for (Member member : subjectsByWatcher().getOrDefault(open.poll(), List.of())) {
+                if (member.lastReachedBySearch != searchCount
                         && member.state == State.ALIVE
                         && !(watch.isLate(member, now) && watch.subjects().contains(member))) {
-                    member.reachedBy = searches;
+                    member.lastReachedBySearch = searchCount;
                     open.add(member.id);
                     alive++;
                 }
@@ -142,40 +163,40 @@
         return alive * 2L > base;
     }
 
-    /** Which part of the tier is silent, as far as one can tell here; 0 to 1. */
-    double silentPart() {
-        return silentPart;
+    /** Returns the fraction of the tier that is silent as far as this router can tell, from 0 to 1. */
+    double silentFraction() {
+        return silentFraction;
     }
 
-    /** What it comes to now. */
-    LocalHealthIssue look(long now) {
+    /** Evaluates the current situation and returns the reason for which this router distrusts its view, if any. */
+    LocalHealthIssue evaluate(long now) {
         long subjects = 0;
         long silent = 0;
-        long since = 0;
+        long heardAfterPause = 0;
         for (Member member : watch.subjects()) {
             subjects++;
             silent += watch.isLate(member, now) ? 1 : 0;
-            since += heardSince.contains(member.id) ? 1 : 0;
+            heardAfterPause += heardSincePause.contains(member.id) ? 1 : 0;
         }
-        if (paused && since * 2 >= subjects) {
+        if (paused && heardAfterPause * 2 >= subjects) {
             paused = false;
-            heardSince.clear();
+            heardSincePause.clear();
         }
         long base = roster.present();
         for (Member member : roster.gone()) {
-            base += member.state == State.FAILED && now - member.since < settings.recentNanos() ? 1 : 0;
+            base += member.state == State.FAILED && now - member.stateSince < settings.recentNanos() ? 1 : 0;
         }
-        boolean most = roster.suspects() == 0 ? roster.present() * 2L > base : reachesMost(base, now);
-        evenOut(subjects == 0 ? 0 : (double) silent / subjects * (base - 1) / base, now);
-        boolean minority = silentPart > LEAST_MINORITY || !most;
+        boolean majority = roster.suspects() == 0 ? roster.present() * 2L > base : reachesMajority(base, now);
+        averageSilentFraction(subjects == 0 ? 0 : (double) silent / subjects * (base - 1) / base, now);
+        boolean minority = silentFraction > MINORITY_THRESHOLD || !majority;
         boolean alone = !heardAny && settings.peers().size() > 1;
-        doubt = paused
+        issue = paused
                 ? LocalHealthIssue.PAUSED
                 : unheard
                         ? LocalHealthIssue.UNHEARD
                         : alone
                                 ? LocalHealthIssue.STARTING
                                 : minority ? LocalHealthIssue.MINORITY : LocalHealthIssue.NONE;
-        return doubt;
+        return issue;
     }
 }
--- a/src/main/java/slateseam/tier/members/Members.java
+++ b/src/main/java/slateseam/tier/members/Members.java
@@ -18,63 +18,100 @@
 import slateseam.tier.members.Message.Verdict;
 
 /**
- * One router's view of the tier. It is told the time and datagrams, and tells its {@link MembersPort} what to send and what has changed. Not
- * thread-safe. The same settings, source of chance and calls give the same actions.
+ * One router's view of the tier, maintained by a SWIM-style gossip protocol: heartbeats to the routers that monitor
+ * this one, suspicion before failure, refutation by incarnation numbers, and anti-entropy by digests. The class does
+ * no I/O and reads no clock: the caller passes in the time and received datagrams, and the class tells its {@link
+ * MembersPort} which datagrams to send and what has changed in the view.
+ *
+ * <p>Not thread-safe. The same settings, random generator and calls give the same actions. All times are nanoseconds
+ * of Unix time unless the name says otherwise.
  */
 public final class Members {
-    /** More life than a day ahead of this router's clock is absurd, as is one who answered so many suspicions. */
-    private static final long MOST_AHEAD_MILLIS = 86_400_000L;
+    /**
+     * A life (the start time of a process) that lies more than a day ahead of this router's clock is implausible, and
+     * so is an incarnation above {@link #MAX_INCARNATION}; datagrams and claims with such values are dropped.
+     */
+    private static final long MAX_AHEAD_OF_CLOCK_MILLIS = 86_400_000L;
+
+    /** The highest incarnation that is accepted. A router that reaches it starts a later life instead. */
+    static final int MAX_INCARNATION = 1 << 30;
 
-    static final int MOST_INCARNATIONS = 1 << 30;
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000 * MILLI;
-    /** After a new life was heard messages of the old one are late for so long, and later a second process's. */
-    private static final long LATE_NANOS = 3 * SECOND;
+    /**
+     * For this long after a new life was first heard, messages of the previous life count as delayed; after that they
+     * count as messages of a second process with the same name.
+     */
+    private static final long DELAYED_MESSAGE_NANOS = 3 * SECOND;
 
-    private static final int TWICE_MESSAGES = 5;
-    static final long TWICE_AGAIN_NANOS = 60 * SECOND;
+    /** Messages of another process, in sequence, after which a duplicate name is reported. */
+    private static final int DUPLICATE_NAME_MESSAGES = 5;
+    /** The shortest time between two reports of the same duplicate name. */
+    static final long DUPLICATE_NAME_REPORT_NANOS = 60 * SECOND;
+    /**
+     * Periods between two comparisons of the view with a random member, and between two probes of addresses that are
+     * not in the view.
+     */
     private static final int COMPARE_PERIODS = 5;
+    /** Periods between two introductions to a member that is already heard. */
     private static final int INTRODUCE_PERIODS = 10;
-    /** Messages in a row whose digest differs until parts are compared. */
-    private static final int DIFFERS = 3;
+    /** Consecutive messages with a differing view digest after which the view is compared with the sender's. */
+    private static final int MAX_DIGEST_MISMATCHES = 3;
 
-    private static final int MOST_WHO_A_PERIOD = 5;
-    private static final int BESIDE = 2;
-    private static final int FRESH = 2;
+    /**
+     * Limit on requests for an introduction, and on replies to such requests and to verdicts, in one period; it
+     * bounds the traffic that received datagrams can provoke.
+     */
+    private static final int MAX_REPLIES_PER_PERIOD = 5;
+    /**
+     * Additional members that a router contacts while it is in a minority or unheard, and when it shuts down; also
+     * the number by which the addresses in {@link #recentlyProbed} may exceed the number of watchers.
+     */
+    private static final int EXTRA_TARGETS = 2;
+    /**
+     * Messages in quick succession after which a failed member counts as alive again; a single message may be a
+     * delayed one.
+     */
+    private static final int MESSAGES_TO_REVIVE = 2;
 
     private final MembersSettings settings;
     private final RandomGenerator random;
-    private final MembersPort sink;
+    private final MembersPort port;
     private final long self;
     private final int tier;
     private final Roster roster;
     private final Watch watch;
-    private final LocalHealth doubt;
+    private final LocalHealth localHealth;
     private final Map<Traffic, Long> traffic = new EnumMap<>(Traffic.class);
-    private final SelfState own;
+    private final SelfState selfState;
     private final Parts parts;
     private boolean left;
     private long now;
     private long nextPeriod;
     private long periods;
-    private int whoLeft;
-    private int probed;
-    /** To whom it has introduced itself last, whether or not they were heard since. */
-    private final Set<InetSocketAddress> introducedTo = new LinkedHashSet<>();
-    /** Whose digest was another for long. */
+    /** The requests and replies that {@link #MAX_REPLIES_PER_PERIOD} still allows in this period. */
+    private int repliesLeft;
+    /** The position of the next probe in the list of addresses to probe. */
+    private int nextProbe;
+    /** The addresses that were probed most recently, whether or not they have answered. */
+    private final Set<InetSocketAddress> recentlyProbed = new LinkedHashSet<>();
+    /** The members whose view digest has differed from this one's repeatedly; their views are compared next. */
     private final Set<Long> differing = new LinkedHashSet<>();
 
-    private LocalHealthIssue told = LocalHealthIssue.NONE;
+    /** The issue that was last reported to the port. */
+    private LocalHealthIssue reportedIssue = LocalHealthIssue.NONE;
 
     /**
-     * Begins a life.
+     * Starts the membership of this router in a new life.
      *
-     * @param now in Unix time; its milliseconds are the life's number
+     * @param now Unix time in nanoseconds; its milliseconds identify the life
+     * @param random the source of all randomness
+     * @param port receives the datagrams to send and the changes of the view
      */
-    public Members(MembersSettings settings, long now, RandomGenerator random, MembersPort sink) {
+    public Members(MembersSettings settings, long now, RandomGenerator random, MembersPort port) {
         this.settings = settings;
         this.random = random;
-        this.sink = sink;
+        this.port = port;
         this.now = now;
         nextPeriod = now;
         self = Ids.of(settings.name());
@@ -90,7 +127,7 @@
                 if (change.kind() == Kind.SUSPECTED && change.why().contains(" by=" + settings.name() + " ")) {
                     count(Traffic.SUSPICIONS, 1);
                 }
-                sink.changed(change);
+                port.changed(change);
             }
         });
         parts = new Parts(self, roster, random);
@@ -98,48 +135,57 @@
                 settings,
                 self,
                 roster,
-                (to, verdict) -> send(to.place, Message.Kind.HEARTBEAT, false, accused(to, verdict), true));
-        doubt = new LocalHealth(settings, self, roster, watch, now);
-        own = new SelfState(settings, self, now, roster, doubt, sink);
+                (to, verdict) -> send(to.address, Message.Kind.HEARTBEAT, false, withSuspicion(to, verdict), true));
+        localHealth = new LocalHealth(settings, self, roster, watch, now);
+        selfState = new SelfState(settings, self, now, roster, localHealth, port);
     }
 
     private void count(Traffic what, long more) {
         traffic.merge(what, more, Long::sum);
     }
 
-    /** Time goes on; to be called every 50 ms or so. */
+    /**
+     * Advances the clock: sends heartbeats that are due, updates the health of this router, and suspects or fails
+     * silent members. The caller calls this about every 50 ms.
+     *
+     * @param nanos Unix time in nanoseconds
+     */
     public void tick(long nanos) {
         now = nanos;
         if (left) {
             return;
         }
-        doubt.tick(now);
+        localHealth.tick(now);
         if (now >= nextPeriod) {
             nextPeriod = Math.max(now, nextPeriod + settings.periodNanos());
-            period();
+            runPeriod();
         }
-        boolean doubted = doubt.isThere();
-        LocalHealthIssue is = doubt.look(now);
-        if (doubted && is == LocalHealthIssue.NONE) {
-            watch.listenAnew(now);
+        boolean hadIssue = localHealth.hasIssue();
+        LocalHealthIssue issue = localHealth.evaluate(now);
+        if (hadIssue && issue == LocalHealthIssue.NONE) {
+            watch.restartSilence(now);
         }
-        watch.look(now, is != LocalHealthIssue.NONE);
-        watch.judge(now, is != LocalHealthIssue.NONE);
-        is = doubt.look(now);
-        if (is != told) {
-            sink.changed(new Change(
-                    Kind.DOUBT, settings.name(), settings.number(), "doubt=" + is.word() + " before=" + told.word()));
-            told = is;
+        watch.checkSubjects(now, issue != LocalHealthIssue.NONE);
+        watch.failExpiredSuspects(now, issue != LocalHealthIssue.NONE);
+        issue = localHealth.evaluate(now);
+        if (issue != reportedIssue) {
+            port.changed(new Change(
+                    Kind.DOUBT,
+                    settings.name(),
+                    settings.number(),
+                    "doubt=" + issue.word() + " before=" + reportedIssue.word()));
+            reportedIssue = issue;
         }
     }
 
-    private void period() {
+    /** Sends the heartbeats, probes and comparisons of one period. */
+    private void runPeriod() {
         periods++;
-        whoLeft = MOST_WHO_A_PERIOD;
+        repliesLeft = MAX_REPLIES_PER_PERIOD;
         Set<Long> to = ownWatchers();
-        if (doubt.now() == LocalHealthIssue.UNHEARD || doubt.now() == LocalHealthIssue.MINORITY) {
-            for (int i = 0; i < BESIDE; i++) {
-                Member other = any();
+        if (localHealth.issue() == LocalHealthIssue.UNHEARD || localHealth.issue() == LocalHealthIssue.MINORITY) {
+            for (int i = 0; i < EXTRA_TARGETS; i++) {
+                Member other = randomPresentMember();
                 if (other != null) {
                     to.add(other.id);
                 }
@@ -150,7 +196,7 @@
             probe(to.isEmpty() ? settings.watchers() : 1);
         }
         if (periods % COMPARE_PERIODS == 0) {
-            compare(any());
+            compare(randomPresentMember());
             roster.forget(now);
         }
         if (!differing.isEmpty()) {
@@ -160,7 +206,7 @@
         }
     }
 
-    /** Who watches this router, in the rings' order. */
+    /** Returns the ids of the routers that monitor this one, in the order of the rings. */
     private Set<Long> ownWatchers() {
         Set<Long> watchers = new LinkedHashSet<>();
         for (long id : roster.rings.watchers(self)) {
@@ -169,7 +215,8 @@
         return watchers;
     }
 
-    private Member any() {
+    /** Returns a random present member; null if there is none. */
+    private Member randomPresentMember() {
         int others = roster.present() - 1;
         int left = others == 0 ? 0 : random.nextInt(others);
         for (Member member : roster.all()) {
@@ -180,8 +227,11 @@
         return null;
     }
 
-    /** Whoever is a suspect here is told so with each message, as others lose or overtake one another and it has little time to answer. */
-    private List<Record> accused(Member to, Record... records) {
+    /**
+     * Adds the suspicion of the recipient, if there is one, to the records. A suspect is informed in each message,
+     * because messages may be lost or overtake one another and the suspect has little time to refute.
+     */
+    private List<Record> withSuspicion(Member to, Record... records) {
         List<Record> all = new ArrayList<>(List.of(records));
         if (to.state == State.SUSPECT) {
             all.add(roster.record(to));
@@ -191,111 +241,141 @@
 
     private void heartbeat(Member to) {
         boolean unknown = to.heardAt == 0 || periods % INTRODUCE_PERIODS == 0;
-        send(to.place, Message.Kind.HEARTBEAT, unknown, accused(to), true);
-        if (settings.toldPlaces() && to.toldPlace != null && !to.toldPlace.equals(to.place) && watch.isLate(to, now)) {
-            // Guards against two that moved, each of whom looks for the other where an old list has it.
-            send(to.toldPlace, Message.Kind.HEARTBEAT, true, List.of(), false);
+        send(to.address, Message.Kind.HEARTBEAT, unknown, withSuspicion(to), true);
+        if (settings.toldPlaces()
+                && to.reportedAddress != null
+                && !to.reportedAddress.equals(to.address)
+                && watch.isLate(to, now)) {
+            // Two routers that both moved would otherwise look for each other at the addresses of an outdated list.
+            send(to.reportedAddress, Message.Kind.HEARTBEAT, true, List.of(), false);
         }
     }
 
-    /** Looks for those that may be there and are not in the view: in the list, or gone. */
+    /**
+     * Sends introductions to addresses of routers that may be running but are not in the view: configured peers, and
+     * members that failed or left.
+     *
+     * @param most the maximum number of addresses to contact
+     */
     private void probe(int most) {
-        Map<InetSocketAddress, List<Record>> places = new LinkedHashMap<>();
+        Map<InetSocketAddress, List<Record>> addresses = new LinkedHashMap<>();
         for (int i = 0; i < settings.peers().size(); i++) {
             if (i != settings.number()) {
-                places.put(settings.peers().get(i), List.of());
+                addresses.put(settings.peers().get(i), List.of());
             }
         }
         for (Member member : roster.all()) {
             if (member.state.isGone()) {
-                places.put(member.place, List.of(roster.record(member))); // so that it knows
+                // The record informs the member of the state in which this router holds it.
+                addresses.put(member.address, List.of(roster.record(member)));
                 if (member.number >= 0
                         && member.number < settings.peers().size()
                         && member.number != settings.number()) {
-                    places.put(settings.peers().get(member.number), List.of(roster.record(member)));
+                    addresses.put(settings.peers().get(member.number), List.of(roster.record(member)));
                 }
             }
         }
         for (Member member : roster.all()) {
             if (!member.state.isGone()) {
-                places.remove(member.place);
+                addresses.remove(member.address);
             }
         }
-        List<InetSocketAddress> all = new ArrayList<>(places.keySet());
+        List<InetSocketAddress> all = new ArrayList<>(addresses.keySet());
         for (int i = 0; i < Math.min(most, all.size()); i++) {
-            InetSocketAddress to = all.get(Math.floorMod(probed++, all.size()));
-            remember(to);
-            send(to, Message.Kind.HEARTBEAT, true, places.get(to), true);
+            InetSocketAddress to = all.get(Math.floorMod(nextProbe++, all.size()));
+            rememberProbed(to);
+            send(to, Message.Kind.HEARTBEAT, true, addresses.get(to), true);
         }
     }
 
-    private void remember(InetSocketAddress to) {
-        introducedTo.remove(to);
-        introducedTo.add(to);
-        if (introducedTo.size() > settings.watchers() + BESIDE) {
-            introducedTo.remove(introducedTo.iterator().next());
+    /** Keeps the address among the most recently probed ones, dropping the oldest beyond the limit. */
+    private void rememberProbed(InetSocketAddress to) {
+        recentlyProbed.remove(to);
+        recentlyProbed.add(to);
+        if (recentlyProbed.size() > settings.watchers() + EXTRA_TARGETS) {
+            recentlyProbed.remove(recentlyProbed.iterator().next());
         }
     }
 
+    /** Sends the digests of all parts of the view to a member and requests its digests in return. */
     private void compare(Member with) {
         if (with != null) {
-            send(with.place, Message.Kind.COMPARE, false, parts.digests(), false, true);
+            send(with.address, Message.Kind.COMPARE, false, parts.digests(), false, true);
         }
     }
 
     private Introduction introduction() {
-        return new Introduction(self, own.life(), own.incarnation(), settings.number(), null, settings.name());
+        return new Introduction(
+                self, selfState.life(), selfState.incarnation(), settings.number(), null, settings.name());
     }
 
-    private void send(InetSocketAddress to, Message.Kind kind, boolean introduces, List<Record> records, boolean news) {
-        send(to, kind, introduces, records, news, false);
+    /**
+     * Sends a message.
+     *
+     * @param withIntroduction whether the message starts with this router's introduction
+     * @param withGossip whether the remaining room is filled with updates from the gossip queue
+     */
+    private void send(
+            InetSocketAddress to,
+            Message.Kind kind,
+            boolean withIntroduction,
+            List<Record> records,
+            boolean withGossip) {
+        send(to, kind, withIntroduction, records, withGossip, false);
     }
 
     private void send(
             InetSocketAddress to,
             Message.Kind kind,
-            boolean introduces,
+            boolean withIntroduction,
             List<Record> records,
-            boolean news,
-            boolean asks) {
+            boolean withGossip,
+            boolean requestsDigests) {
         if (to == null) {
             return;
         }
         List<Record> all = new ArrayList<>();
-        if (introduces) {
+        if (withIntroduction) {
             all.add(introduction());
         }
         all.addAll(records);
-        if (news) {
-            int room = Message.MOST_BYTES
+        if (withGossip) {
+            int room = Message.MAX_BYTES
                     - Message.HEADER_BYTES
                     - all.stream().mapToInt(Record::bytes).sum();
-            all.addAll(roster.news.take(room, roster.present()));
+            all.addAll(roster.gossip.take(room, roster.present()));
         }
         byte[] bytes = new Message(
                         kind,
-                        doubt.isThere(),
-                        asks,
+                        localHealth.hasIssue(),
+                        requestsDigests,
                         tier,
                         self,
-                        own.life(),
-                        own.incarnation(),
-                        own.next(),
+                        selfState.life(),
+                        selfState.incarnation(),
+                        selfState.nextSequence(),
                         roster.digest(),
-                        (int) Math.round(Member.MOST_SILENT * doubt.silentPart()),
+                        (int) Math.round(Member.SILENT_FRACTION_SCALE * localHealth.silentFraction()),
                         all)
                 .encode();
         count(Traffic.SENT, 1);
         count(Traffic.SENT_BYTES, bytes.length);
-        sink.send(to, bytes);
+        port.send(to, bytes);
     }
 
-    /** The first byte of all its datagrams, by which they are told from the ring's. */
+    /**
+     * Returns the first byte of all membership datagrams, which distinguishes them from the datagrams of the ring.
+     */
     public static byte firstByte() {
         return Message.MAGIC;
     }
 
-    /** A datagram came. */
+    /**
+     * Handles a received datagram.
+     *
+     * @param nanos Unix time in nanoseconds
+     * @param from the address of the sender
+     */
     public void heard(long nanos, InetSocketAddress from, byte[] datagram) {
         now = nanos;
         Message message;
@@ -309,40 +389,49 @@
             count(Traffic.DROPPED_STRANGER, left ? 0 : 1);
             return;
         }
-        if (isAbsurd(message.life(), message.incarnation())) {
+        if (isImplausible(message.life(), message.incarnation())) {
             count(Traffic.DROPPED_ABSURD, 1);
             return;
         }
         if (message.sender() == self) {
-            own.spokenBy(message.life(), now);
+            selfState.handleMessageOfOwnName(message.life(), now);
             return;
         }
         Member sender = sender(message, from);
-        if (sender != null && isNews(sender, message, from)) {
+        if (sender != null && isNew(sender, message, from)) {
             count(Traffic.TAKEN, 1);
-            take(sender, message, from);
+            handleMessage(sender, message, from);
         }
     }
 
-    private boolean isAbsurd(long aLife, int anIncarnation) {
+    /** Returns whether a life or an incarnation is outside the plausible range. */
+    private boolean isImplausible(long aLife, int anIncarnation) {
         return aLife <= 0
-                || aLife > now / MILLI + MOST_AHEAD_MILLIS
+                || aLife > now / MILLI + MAX_AHEAD_OF_CLOCK_MILLIS
                 || anIncarnation < 0
-                || anIncarnation > MOST_INCARNATIONS;
+                || anIncarnation > MAX_INCARNATION;
     }
 
-    /** Who sent it; null for strangers. */
+    /**
+     * Returns the sender of a message, adding it to the view if the message introduces it. Returns null for an
+     * unknown sender, which is asked to introduce itself.
+     */
     private Member sender(Message message, InetSocketAddress from) {
         Member known = roster.find(message.sender());
         for (Record record : message.records()) {
-            if (record instanceof Introduction said && said.id() == message.sender()) {
+            if (record instanceof Introduction introduction && introduction.id() == message.sender()) {
                 if (message.kind() == Message.Kind.LEAVE && known == null) {
                     return null;
                 }
-                return roster.introduced(
+                return roster.handleIntroduction(
                         new Introduction(
-                                said.id(), message.life(), message.incarnation(), said.number(), null, said.name()),
-                        said.id(),
+                                introduction.id(),
+                                message.life(),
+                                message.incarnation(),
+                                introduction.number(),
+                                null,
+                                introduction.name()),
+                        introduction.id(),
                         true,
                         from,
                         now);
@@ -350,18 +439,21 @@
         }
         if (known == null) {
             count(Traffic.DROPPED_STRANGER, 1);
-            if (whoLeft-- > 0) {
+            if (repliesLeft-- > 0) {
                 send(from, Message.Kind.WHO, true, List.of(), false);
             }
         }
         return known;
     }
 
-    /** Whether it is not late or doubled, and of the life that is known or a later one. */
-    private boolean isNews(Member sender, Message message, InetSocketAddress from) {
+    /**
+     * Returns whether a message is neither delayed nor duplicated and belongs to the known life of its sender or a
+     * later one.
+     */
+    private boolean isNew(Member sender, Message message, InetSocketAddress from) {
         if (message.life() < sender.life) {
             count(Traffic.DROPPED_LATE, 1);
-            second(sender, message, from);
+            handleEarlierLife(sender, message, from);
             return false;
         }
         if (message.life() == sender.life && message.sequence() - sender.sequence <= 0) {
@@ -371,15 +463,18 @@
         return true;
     }
 
-    /** Messages of an earlier life that go on: a second process by that name, which is told of the first. */
-    private void second(Member sender, Message message, InetSocketAddress from) {
+    /**
+     * Handles a message of an earlier life of its sender. If such messages continue, a second process is running
+     * under the same name; the process is informed of the newer life, and the duplicate name is reported.
+     */
+    private void handleEarlierLife(Member sender, Message message, InetSocketAddress from) {
         if (message.life() != sender.otherLife) {
             sender.otherLife = message.life();
             sender.otherSequence = message.sequence();
-            sender.others = 0;
+            sender.otherMessages = 0;
         } else if (message.sequence() - sender.otherSequence > 0) {
             sender.otherSequence = message.sequence();
-            sender.others++;
+            sender.otherMessages++;
         }
         send(
                 from,
@@ -387,120 +482,130 @@
                 true,
                 List.of(new Claim(sender.id, sender.life, sender.incarnation, sender.state, self)),
                 false);
-        if (now - sender.since > LATE_NANOS
-                && sender.others >= TWICE_MESSAGES
-                && (sender.twiceAt == 0 || now - sender.twiceAt > TWICE_AGAIN_NANOS)) {
-            sender.twiceAt = now;
-            sink.changed(new Change(
+        if (now - sender.stateSince > DELAYED_MESSAGE_NANOS
+                && sender.otherMessages >= DUPLICATE_NAME_MESSAGES
+                && (sender.duplicateReportedAt == 0
+                        || now - sender.duplicateReportedAt > DUPLICATE_NAME_REPORT_NANOS)) {
+            sender.duplicateReportedAt = now;
+            port.changed(new Change(
                     Kind.TWICE,
                     roster.name(sender.id),
                     sender.number,
-                    "life=" + sender.life + " place=" + sender.place + " other_life=" + sender.otherLife
+                    "life=" + sender.life + " place=" + sender.address + " other_life=" + sender.otherLife
                             + " other_place=" + from));
         }
     }
 
-    private void take(Member sender, Message message, InetSocketAddress from) {
+    /** Processes a new message of a known sender. */
+    private void handleMessage(Member sender, Message message, InetSocketAddress from) {
         if (message.life() > sender.life) {
-            roster.take(sender, message.life(), message.incarnation(), State.ALIVE, sender.id, now);
+            roster.apply(sender, message.life(), message.incarnation(), State.ALIVE, sender.id, now);
         }
         if (message.kind() == Message.Kind.LEAVE) {
             sender.sequence = message.sequence();
-            message.records().forEach(record -> take(sender, record));
+            message.records().forEach(record -> handleRecord(sender, record));
             return;
         }
-        boolean soon = now - sender.heardAt <= sender.patience(settings.periodNanos()) && sender.heardAt != 0;
+        boolean soon = now - sender.heardAt <= sender.silenceTimeout(settings.periodNanos()) && sender.heardAt != 0;
         sender.sequence = message.sequence();
-        sender.place = from;
-        sender.hear(now, settings.periodNanos(), !doubt.isThere());
-        sender.silent = message.silent();
-        doubt.heard(sender);
+        sender.address = from;
+        sender.recordMessage(now, settings.periodNanos(), !localHealth.hasIssue());
+        sender.silentFraction = message.silentFraction();
+        localHealth.recordHeard(sender);
         if (message.incarnation() > sender.incarnation) {
-            roster.take(sender, message.life(), message.incarnation(), State.ALIVE, sender.id, now);
+            roster.apply(sender, message.life(), message.incarnation(), State.ALIVE, sender.id, now);
         } else if (sender.state == State.SUSPECT) {
-            answerFor(sender, sender.incarnation);
+            refuteFor(sender, sender.incarnation);
         } else if (sender.state == State.FAILED) {
-            // One message may be late; one that lives goes on.
-            sender.afresh = soon ? sender.afresh + 1 : 1;
-            if (sender.afresh >= FRESH) {
-                answerFor(sender, sender.incarnation);
+            // A single message may have been delayed; a live process continues to send.
+            sender.messagesSinceFailure = soon ? sender.messagesSinceFailure + 1 : 1;
+            if (sender.messagesSinceFailure >= MESSAGES_TO_REVIVE) {
+                refuteFor(sender, sender.incarnation);
             }
         }
         for (Record record : message.records()) {
-            take(sender, record);
+            handleRecord(sender, record);
         }
         if (message.kind() == Message.Kind.WHO) {
-            if (whoLeft-- > 0) {
+            if (repliesLeft-- > 0) {
                 send(from, Message.Kind.HEARTBEAT, true, List.of(), false);
             }
         } else if (message.kind() == Message.Kind.COMPARE) {
-            answerCompared(sender, message);
+            answerComparison(sender, message);
         }
-        boolean alike = message.digest() == roster.digest();
-        if (alike) {
-            doubt.unheard(false); // it sees what is seen here, this router's incarnation among it
+        boolean sameDigest = message.digest() == roster.digest();
+        if (sameDigest) {
+            localHealth.setUnheard(false); // equal digests: the sender knows this router's current incarnation
         }
-        sender.differs = alike ? 0 : sender.differs + 1;
-        if (sender.differs >= DIFFERS) {
-            sender.differs = 0;
+        sender.digestMismatches = sameDigest ? 0 : sender.digestMismatches + 1;
+        if (sender.digestMismatches >= MAX_DIGEST_MISMATCHES) {
+            sender.digestMismatches = 0;
             differing.add(sender.id);
         }
     }
 
-    /** Somebody says something of this router. */
-    private void about(long life, int incarnation, State state) {
-        if (own.told(life, incarnation, state, now)) {
-            // At once: who is a suspect has little time.
+    /** Handles a claim about this router. */
+    private void handleClaimAboutSelf(long life, int incarnation, State state) {
+        if (selfState.handleClaim(life, incarnation, state, now)) {
+            // Sends the refutation at once, because a suspect has little time to answer.
             count(Traffic.REFUTATIONS, 1);
             nextPeriod = now;
-            roster.news.add(self, introduction());
+            roster.gossip.add(self, introduction());
         }
     }
 
-    /** It is heard here, whatever others say: that overrides what they said. */
-    private void answerFor(Member member, int above) {
-        if (above < MOST_INCARNATIONS) {
+    /**
+     * Refutes a claim about a member on the member's behalf, because this router hears it. The next higher
+     * incarnation overrides the claim.
+     */
+    private void refuteFor(Member member, int claimedIncarnation) {
+        if (claimedIncarnation < MAX_INCARNATION) {
             count(Traffic.REFUTATIONS, 1);
-            roster.take(member, member.life, above + 1, State.ALIVE, self, now);
+            roster.apply(member, member.life, claimedIncarnation + 1, State.ALIVE, self, now);
         }
     }
 
-    private void take(Member sender, Record record) {
-        if (record instanceof Introduction said) {
-            if (said.id() == self) {
-                about(said.life(), said.incarnation(), State.ALIVE);
-            } else if (said.id() != sender.id && !isAbsurd(said.life(), said.incarnation())) {
-                Member member = roster.introduced(said, sender.id, false, null, now);
+    /** Processes one record of a message. */
+    private void handleRecord(Member sender, Record record) {
+        if (record instanceof Introduction introduction) {
+            if (introduction.id() == self) {
+                handleClaimAboutSelf(introduction.life(), introduction.incarnation(), State.ALIVE);
+            } else if (introduction.id() != sender.id
+                    && !isImplausible(introduction.life(), introduction.incarnation())) {
+                Member member = roster.handleIntroduction(introduction, sender.id, false, null, now);
                 if (member != null) {
-                    member.toldPlace = said.place() == null ? member.toldPlace : said.place();
-                    roster.take(member, said.life(), said.incarnation(), State.ALIVE, sender.id, now);
+                    member.reportedAddress =
+                            introduction.address() == null ? member.reportedAddress : introduction.address();
+                    roster.apply(member, introduction.life(), introduction.incarnation(), State.ALIVE, sender.id, now);
                 }
             }
-        } else if (record instanceof Claim claim && isAbsurd(claim.life(), claim.incarnation())) {
+        } else if (record instanceof Claim claim && isImplausible(claim.life(), claim.incarnation())) {
             count(Traffic.DROPPED_ABSURD, 1);
         } else if (record instanceof Claim claim && claim.id() == self) {
-            about(claim.life(), claim.incarnation(), claim.state());
+            handleClaimAboutSelf(claim.life(), claim.incarnation(), claim.state());
         } else if (record instanceof Claim claim) {
-            claimed(sender, claim);
+            handleClaim(sender, claim);
         } else if (record instanceof Verdict verdict && verdict.id() == self) {
-            if (verdict.ear() != Message.Ear.HEARS && whoLeft-- > 0) {
-                send(sender.place, Message.Kind.HEARTBEAT, true, List.of(), true);
+            if (verdict.ear() != Message.Ear.HEARS && repliesLeft-- > 0) {
+                send(sender.address, Message.Kind.HEARTBEAT, true, List.of(), true);
             }
         } else if (record instanceof Verdict verdict) {
-            watch.said(sender, verdict, now);
+            watch.handleVerdict(sender, verdict, now);
         }
     }
 
-    private void claimed(Member sender, Claim claim) {
+    /** Handles a claim about another member. */
+    private void handleClaim(Member sender, Claim claim) {
         Member member = roster.find(claim.id());
         if (member == null || !member.isOlderThan(claim.life(), claim.incarnation(), claim.state())) {
             return;
         }
-        // A suspicion is taken, and its next message here answers it: what came before may have been its last.
+        // A suspicion is accepted even if the member was heard just now, since that message may have been its last. The
+        // next message of the member refutes the suspicion.
         if (claim.state() == State.FAILED && claim.life() == member.life && watch.heardNow(member, now)) {
-            answerFor(member, claim.incarnation());
+            refuteFor(member, claim.incarnation());
         } else {
-            roster.take(
+            roster.apply(
                     member,
                     claim.life(),
                     claim.incarnation(),
@@ -510,68 +615,85 @@
         }
     }
 
-    private void answerCompared(Member sender, Message message) {
+    /**
+     * Answers a comparison with the records of the parts that differ, and with digests if the sender requested them.
+     */
+    private void answerComparison(Member sender, Message message) {
         for (List<Record> answer : parts.answers(message, introduction())) {
-            send(sender.place, Message.Kind.HEARTBEAT, false, answer, false);
+            send(sender.address, Message.Kind.HEARTBEAT, false, answer, false);
         }
-        if (message.asks() && parts.differ(message)) {
-            send(sender.place, Message.Kind.COMPARE, false, parts.digests(), false);
+        if (message.requestsDigests() && parts.hasDifferences(message)) {
+            send(sender.address, Message.Kind.COMPARE, false, parts.digests(), false);
         }
     }
 
-    /** This router ends: says so to those who watch it, and nothing more. */
+    /**
+     * Announces the shutdown of this router to the routers that monitor it and stops sending.
+     *
+     * @param nanos Unix time in nanoseconds
+     */
     public void leave(long nanos) {
         now = nanos;
         if (!left) {
-            Claim claim = new Claim(self, own.life(), own.incarnation(), State.LEFT, self);
-            for (InetSocketAddress place : placesToldOfAnEnd()) {
-                send(place, Message.Kind.LEAVE, false, List.of(claim), false);
-                send(place, Message.Kind.LEAVE, false, List.of(claim), false);
+            Claim claim = new Claim(self, selfState.life(), selfState.incarnation(), State.LEFT, self);
+            for (InetSocketAddress address : leaveTargets()) {
+                send(address, Message.Kind.LEAVE, false, List.of(claim), false);
+                send(address, Message.Kind.LEAVE, false, List.of(claim), false);
             }
             left = true;
         }
     }
 
     /**
-     * Its watchers, some others, and those to whom it has introduced itself. Guards against one that ends before it has
-     * heard anybody: the others have heard it, and would take it for failed.
+     * Returns the addresses to which a shutdown is announced: the routers that monitor this one, some other members,
+     * and the addresses probed recently. A router that shuts down before it has heard any other would otherwise be
+     * declared failed by the routers that have already heard it.
      */
-    private Set<InetSocketAddress> placesToldOfAnEnd() {
+    private Set<InetSocketAddress> leaveTargets() {
         Set<Long> members = ownWatchers();
-        Set<InetSocketAddress> places = new LinkedHashSet<>();
+        Set<InetSocketAddress> addresses = new LinkedHashSet<>();
         for (Member member : roster.all()) {
             if (members.contains(member.id)
                     || member.state == State.ALIVE
-                            && members.size() < settings.watchers() + BESIDE
+                            && members.size() < settings.watchers() + EXTRA_TARGETS
                             && members.add(member.id)) {
-                places.add(member.place);
+                addresses.add(member.address);
             }
         }
-        places.addAll(introducedTo);
-        return places;
+        addresses.addAll(recentlyProbed);
+        return addresses;
     }
 
-    /** Why this router does not trust its view; none if it does. */
+    /**
+     * Returns the reason for which this router distrusts its view; {@link LocalHealthIssue#NONE} if it trusts the
+     * view.
+     */
     public LocalHealthIssue doubt() {
-        return doubt.now();
+        return localHealth.issue();
     }
 
-    /** The life that it is in, in Unix milliseconds. */
+    /**
+     * Returns the current life of this router: its start time in Unix milliseconds, raised if an earlier process of
+     * the same name had a later one.
+     */
     public long life() {
-        return own.life();
+        return selfState.life();
     }
 
-    /** Whether another process goes by its name. */
+    /** Returns whether another process with the same router name has been detected. */
     public boolean isTwice() {
-        return own.isTwice();
+        return selfState.hasDuplicateName();
     }
 
-    /** What was counted since the start. */
+    /** Returns the value of a counter since the start. */
     public long count(Traffic what) {
         return traffic.getOrDefault(what, 0L);
     }
 
-    /** All others, by name; those that have gone until they are forgotten. */
+    /**
+     * Returns all other members in the order of their names, including members that failed or left until they are
+     * forgotten.
+     */
     public List<MemberView> view() {
         Map<String, MemberView> views = new TreeMap<>();
         for (Member member : roster.all()) {
@@ -586,34 +708,41 @@
                     new MemberView(
                             name,
                             member.number,
-                            member.place,
+                            member.address,
                             member.state,
                             reach,
                             member.life,
                             member.incarnation,
-                            member.since,
-                            roster.name(member.by),
+                            member.stateSince,
+                            roster.name(member.reportedBy),
                             member.heardAt));
         }
         return List.copyOf(views.values());
     }
 
-    /** The numbers of those that are there, this router among them; the same object until that changes. */
+    /**
+     * Returns the peer numbers of the present members, including this router. The same object is returned until the
+     * set changes.
+     */
     public Set<Integer> numbers() {
         return roster.numbers();
     }
 
-    /** A digest of who is there; the same at all routers that see the same. */
+    /** Returns a digest of the present members, which is equal on all routers with the same view. */
     public int digest() {
         return roster.digest();
     }
 
-    /** How many are there, this router among them. */
+    /** Returns the number of present members, including this router. */
     public int present() {
         return roster.present();
     }
 
-    /** Whether it watches a member and hears nothing of it now. */
+    /**
+     * Returns whether this router monitors a member and currently finds it silent.
+     *
+     * @param name the router name of the member
+     */
     public boolean isSilent(String name) {
         Member member = roster.find(Ids.of(name));
         return member != null && watch.subjects().contains(member) && watch.isSilent(member, now);
--- a/src/main/java/slateseam/tier/members/Rings.java
+++ b/src/main/java/slateseam/tier/members/Rings.java
@@ -9,72 +9,81 @@
 import java.util.Set;
 
 /**
- * Who watches whom: on each of some rings, each with an order of its own, a member is watched by the next one that does not watch it
- * already. Where there are no more others than rings, all others watch it. All who see the same members see the same watchers.
+ * Assigns to each member the members that monitor it (its watchers). There are several rings, each with its own order
+ * of the members. On each ring, a member is watched by its next successor that does not watch it on an earlier ring.
+ * If there are no more other members than rings, every member is watched by all others. Routers with the same set of
+ * members compute the same assignment.
  */
 final class Rings {
     private final List<Ring> rings = new ArrayList<>();
-    /** Watchers that were worked out since the rings changed last. */
-    private final Map<Long, long[]> known = new HashMap<>();
+    /** The watchers computed since the rings last changed, by the id of the watched member. */
+    private final Map<Long, long[]> cachedWatchers = new HashMap<>();
 
     private int version;
 
-    /** One ring: its members in ascending order of their places, which are compared without a sign. */
+    /** One ring: the members in ascending order of their positions, which are compared as unsigned numbers. */
     private static final class Ring {
-        private static final int FIRST_CAPACITY = 16;
+        private static final int INITIAL_CAPACITY = 16;
 
-        private long[] places = new long[FIRST_CAPACITY];
-        private long[] ids = new long[FIRST_CAPACITY];
+        /** The positions with the sign bit flipped, ascending. */
+        private long[] positions = new long[INITIAL_CAPACITY];
+
+        private long[] ids = new long[INITIAL_CAPACITY];
         private int size;
 
-        /** The flipped sign makes the usual order of longs the unsigned one. */
-        private static long key(long place) {
-            return place ^ Long.MIN_VALUE;
+        /** Flips the sign bit, which makes the signed order of longs the unsigned order of the positions. */
+        private static long key(long position) {
+            return position ^ Long.MIN_VALUE;
         }
 
-        /** Where a place is; as {@link Arrays#binarySearch} if it is not there. */
-        private int find(long place) {
-            return Arrays.binarySearch(places, 0, size, key(place));
+        /**
+         * Returns the index of a position, or the result of {@link Arrays#binarySearch} for its insertion point if it
+         * is absent.
+         */
+        private int find(long position) {
+            return Arrays.binarySearch(positions, 0, size, key(position));
         }
 
-        boolean add(long place, long id) {
-            int found = find(place);
+        /** Adds a member at a position; returns false if the position is occupied. */
+        boolean add(long position, long id) {
+            int found = find(position);
             if (found >= 0) {
                 return false;
             }
             int at = -found - 1;
-            if (size == places.length) {
-                places = Arrays.copyOf(places, 2 * size);
+            if (size == positions.length) {
+                positions = Arrays.copyOf(positions, 2 * size);
                 ids = Arrays.copyOf(ids, 2 * size);
             }
-            System.arraycopy(places, at, places, at + 1, size - at);
+            System.arraycopy(positions, at, positions, at + 1, size - at);
             System.arraycopy(ids, at, ids, at + 1, size - at);
-            places[at] = key(place);
+            positions[at] = key(position);
             ids[at] = id;
             size++;
             return true;
         }
 
-        boolean remove(long place) {
-            int at = find(place);
+        /** Removes the member at a position; returns false if there is none. */
+        boolean remove(long position) {
+            int at = find(position);
             if (at < 0) {
                 return false;
             }
-            System.arraycopy(places, at + 1, places, at, size - at - 1);
+            System.arraycopy(positions, at + 1, positions, at, size - at - 1);
             System.arraycopy(ids, at + 1, ids, at, size - at - 1);
             size--;
             return true;
         }
 
-        /** The index of the first one behind a place, from the start again behind the last. */
-        int after(long place) {
-            int found = find(place);
+        /** Returns the index of the first member after a position, wrapping around at the end. */
+        int after(long position) {
+            int found = find(position);
             return next(found >= 0 ? found : -found - 2);
         }
 
-        /** The index of the last one before a place, from the end again before the first. */
-        int before(long place) {
-            int found = find(place);
+        /** Returns the index of the last member before a position, wrapping around at the start. */
+        int before(long position) {
+            int found = find(position);
             return previous(found >= 0 ? found : -found - 1);
         }
 
@@ -87,8 +96,8 @@
         }
     }
 
-    Rings(int number) {
-        for (int i = 0; i < number; i++) {
+    Rings(int count) {
+        for (int i = 0; i < count; i++) {
             rings.add(new Ring());
         }
     }
@@ -96,39 +105,42 @@
     void add(long id) {
         boolean changed = false;
         for (int i = 0; i < rings.size(); i++) {
-            changed |= rings.get(i).add(Ids.on(i, id), id);
+            changed |= rings.get(i).add(Ids.ringPosition(i, id), id);
         }
-        changed(changed);
+        invalidateIf(changed);
     }
 
     void remove(long id) {
         boolean changed = false;
         for (int i = 0; i < rings.size(); i++) {
-            changed |= rings.get(i).remove(Ids.on(i, id));
+            changed |= rings.get(i).remove(Ids.ringPosition(i, id));
         }
-        changed(changed);
+        invalidateIf(changed);
     }
 
-    private void changed(boolean so) {
-        if (so) {
+    private void invalidateIf(boolean changed) {
+        if (changed) {
             version++;
-            known.clear();
+            cachedWatchers.clear();
         }
     }
 
-    /** Changes whenever who watches whom may have changed. */
+    /** Returns a number that changes whenever the assignment of watchers may have changed. */
     int version() {
         return version;
     }
 
-    /** How many there are. */
+    /** Returns the number of members. */
     int size() {
         return rings.get(0).size;
     }
 
-    /** Who watches it, in the rings' order; not to be changed. */
+    /**
+     * Returns the ids of the members that watch a member, in the order of the rings. The caller must not modify the
+     * array.
+     */
     long[] watchers(long id) {
-        return known.computeIfAbsent(id, this::find);
+        return cachedWatchers.computeIfAbsent(id, this::find);
     }
 
     private long[] find(long id) {
@@ -136,7 +148,7 @@
         int found = 0;
         for (int i = 0; i < rings.size() && found < watchers.length; i++) {
             Ring ring = rings.get(i);
-            int at = ring.after(Ids.on(i, id));
+            int at = ring.after(Ids.ringPosition(i, id));
             for (int steps = 0; steps <= ring.size; steps++) {
                 long next = ring.ids[at];
                 if (next != id && !contains(watchers, found, next)) {
@@ -158,13 +170,13 @@
         return false;
     }
 
-    /** Whom it watches. */
+    /** Returns the ids of the members that a member watches. */
     Set<Long> subjects(long id) {
         Set<Long> subjects = new LinkedHashSet<>();
         for (int i = 0; i < rings.size(); i++) {
             Ring ring = rings.get(i);
-            int at = ring.before(Ids.on(i, id));
-            // One further back than all rings could have skipped it does not reach it any more.
+            int at = ring.before(Ids.ringPosition(i, id));
+            // A member skips at most one successor for each earlier ring, so members further back have other watchers.
             for (int steps = 0; steps < Math.min(size() - 1, rings.size() + 1); steps++) {
                 long before = ring.ids[at];
                 long[] watchers = before == id ? new long[0] : watchers(before);
--- a/src/main/java/slateseam/tier/members/Roster.java
+++ b/src/main/java/slateseam/tier/members/Roster.java
@@ -16,57 +16,78 @@
 import slateseam.tier.members.Message.Introduction;
 import slateseam.tier.members.Message.Record;
 
-/** All members that this router knows of, and what became of them; this one's own entry is not among them. */
+/**
+ * All other members that this router knows of, with their states. This router itself is on the rings and in the
+ * digests, but has no entry of its own.
+ */
 final class Roster {
+    /**
+     * The number of parts into which the ids are divided for anti-entropy; a part is given by the upper four bits of
+     * the id.
+     */
     static final int PARTS = 16;
+
     private static final int PART_SHIFT = Long.SIZE - 4;
-    private static final int MOST_FORGOTTEN = MembersSettings.MOST;
+    /** Limit on the tombstones that are kept; the oldest are dropped first. */
+    private static final int MAX_TOMBSTONES = MembersSettings.MOST;
 
-    /** One that was forgotten: what it says of a life that was over is not believed. */
+    /** What is kept of a forgotten member, so that outdated claims about its last life do not bring it back. */
     private record Tombstone(long life, int sequence) {}
 
     private final MembersSettings settings;
     private final long self;
-    private final MembersPort sink;
+    private final MembersPort port;
     private final Map<Long, Member> members = new HashMap<>();
-    private final Map<Long, Tombstone> forgotten = new LinkedHashMap<>() {
+    private final Map<Long, Tombstone> tombstones = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Tombstone> eldest) {
-            return size() > MOST_FORGOTTEN;
+            return size() > MAX_TOMBSTONES;
         }
     };
-    /** Those that failed or left and are not forgotten. */
+    /** The members that failed or left and are not forgotten yet. */
     private final Set<Member> gone = new LinkedHashSet<>();
 
+    /** The number of suspect members. */
     private int suspects;
-    /** The numbers of those that are there; null if they are to be worked out anew, as at another version of the rings. */
+    /**
+     * The peer numbers of the present members; null or outdated (see {@link #numbersVersion}) if they must be
+     * computed again.
+     */
     private Set<Integer> numbers;
 
+    /** The version of the rings for which {@link #numbers} was computed. */
     private int numbersVersion;
+
     final Rings rings;
-    final GossipQueue news = new GossipQueue();
+    final GossipQueue gossip = new GossipQueue();
+    /**
+     * The digest of the present members of each part: the XOR of a hash of each member's id, life and incarnation.
+     */
     private final int[] digests = new int[PARTS];
+    /** Whether the rejection of a member for lack of room has been reported. */
     private boolean full;
 
-    Roster(MembersSettings settings, long self, MembersPort sink) {
+    Roster(MembersSettings settings, long self, MembersPort port) {
         this.settings = settings;
         this.self = self;
-        this.sink = sink;
+        this.port = port;
         rings = new Rings(settings.watchers());
         rings.add(self);
     }
 
+    /** Returns a member by its id; null if it is not known. */
     Member find(long id) {
         return members.get(id);
     }
 
+    /** Returns all known members, including those that failed or left. */
     Collection<Member> all() {
         return members.values();
     }
 
-    /** Its name, or its number if it has not said. */
+    /** Returns the name of a member, or its id in hexadecimal if the name is not known. */
     String name(long id) {
         Member member = members.get(id);
         return id == self
@@ -74,15 +95,17 @@
                 : member != null && member.name != null ? member.name : Long.toHexString(id);
     }
 
+    /** Returns the part to which an id belongs. */
     static int part(long id) {
         return (int) (id >>> PART_SHIFT);
     }
 
-    /** Of those that are there, in a part. */
+    /** Returns the digest of the present members of a part. */
     int digest(int part) {
         return digests[part];
     }
 
+    /** Returns the digest of all present members. */
     int digest() {
         int all = 0;
         for (int digest : digests) {
@@ -91,87 +114,110 @@
         return all;
     }
 
-    /** Brings one that is there into the digests, or takes it out again. */
-    void fold(long id, long life, int incarnation) {
+    /**
+     * Adds a member at a life and incarnation to the digest of its part, or removes it if it is already included: the
+     * operation is its own inverse.
+     */
+    void toggleInDigest(long id, long life, int incarnation) {
         digests[part(id)] ^= (int) Ids.mix(Ids.mix(id ^ life) + incarnation);
     }
 
-    private void fold(Member member) {
+    private void toggleInDigest(Member member) {
         if (!member.state.isGone()) {
-            fold(member.id, member.life, member.incarnation);
+            toggleInDigest(member.id, member.life, member.incarnation);
         }
     }
 
-    /** Somebody says of himself, or of another, that it is there; null if it is not believed. */
-    Member introduced(Introduction said, long by, boolean itself, InetSocketAddress from, long now) {
-        Member member = members.get(said.id());
+    /**
+     * Handles an introduction and adds the member to the view if it is new.
+     *
+     * @param by the id of the router that sent the introduction
+     * @param introducesItself whether the member introduces itself
+     * @param from the address of the sender if the member introduces itself, otherwise null
+     * @return the member, or null if the introduction is rejected: the name does not match the id, the introduction
+     *     is outdated, or the view is full
+     */
+    Member handleIntroduction(
+            Introduction introduction, long by, boolean introducesItself, InetSocketAddress from, long now) {
+        Member member = members.get(introduction.id());
         if (member != null) {
-            if (member.name == null || member.number != said.number()) {
-                member.name = said.name();
-                member.number = said.number();
+            if (member.name == null || member.number != introduction.number()) {
+                member.name = introduction.name();
+                member.number = introduction.number();
                 numbers = null;
             }
             return member;
         }
-        Tombstone over = forgotten.get(said.id());
-        if (Ids.of(said.name()) != said.id() || over != null && !itself && said.life() <= over.life) {
+        Tombstone tombstone = tombstones.get(introduction.id());
+        if (Ids.of(introduction.name()) != introduction.id()
+                || tombstone != null && !introducesItself && introduction.life() <= tombstone.life) {
             return null;
         }
         if (members.size() >= settings.most()) {
             if (!full) {
                 full = true;
-                sink.changed(new Change(Kind.FULL, said.name(), said.number(), "most=" + settings.most()));
+                port.changed(
+                        new Change(Kind.FULL, introduction.name(), introduction.number(), "most=" + settings.most()));
             }
             return null;
         }
-        forgotten.remove(said.id());
-        member = new Member(said.id());
-        member.name = said.name();
-        member.number = said.number();
-        InetSocketAddress listed =
-                said.number() >= 0 && said.number() < settings.peers().size()
-                        ? settings.peers().get(said.number())
-                        : null;
-        member.place = from != null ? from : listed != null ? listed : settings.toldPlaces() ? said.place() : null;
-        member.lives(said.life(), said.incarnation(), now);
-        member.since = now;
-        member.by = by;
-        if (over != null && said.life() <= over.life) {
-            member.sequence = over.sequence; // what was sent before it was forgotten does not bring it back
+        tombstones.remove(introduction.id());
+        member = new Member(introduction.id());
+        member.name = introduction.name();
+        member.number = introduction.number();
+        InetSocketAddress configured = introduction.number() >= 0
+                        && introduction.number() < settings.peers().size()
+                ? settings.peers().get(introduction.number())
+                : null;
+        member.address = from != null
+                ? from
+                : configured != null ? configured : settings.toldPlaces() ? introduction.address() : null;
+        member.startLife(introduction.life(), introduction.incarnation(), now);
+        member.stateSince = now;
+        member.reportedBy = by;
+        if (tombstone != null && introduction.life() <= tombstone.life) {
+            member.sequence = tombstone.sequence; // messages sent before the member was forgotten count as delayed
         }
-        members.put(said.id(), member);
-        rings.add(said.id());
-        fold(member);
-        news.add(said.id(), introduction(member));
-        sink.changed(new Change(Kind.JOINED, member.name, member.number, why(member) + " before=none"));
+        members.put(introduction.id(), member);
+        rings.add(introduction.id());
+        toggleInDigest(member);
+        gossip.add(introduction.id(), introduction(member));
+        port.changed(new Change(Kind.JOINED, member.name, member.number, describe(member) + " before=none"));
         return member;
     }
 
+    /** Returns the introduction of a member as this router knows it. */
     Introduction introduction(Member member) {
-        return new Introduction(member.id, member.life, member.incarnation, member.number, member.place, member.name);
+        return new Introduction(member.id, member.life, member.incarnation, member.number, member.address, member.name);
     }
 
-    /** What tells others of a member as it is now. */
+    /** Returns the record that informs others of the current state of a member. */
     Record record(Member member) {
         return member.state == State.ALIVE && member.name != null
                 ? introduction(member)
-                : new Claim(member.id, member.life, member.incarnation, member.state, member.by);
+                : new Claim(member.id, member.life, member.incarnation, member.state, member.reportedBy);
     }
 
-    private String why(Member member) {
-        return "life=" + member.life + " incarnation=" + member.incarnation + " by=" + name(member.by);
+    /** Returns the cause of a change in the form used by {@link Change#why}. */
+    private String describe(Member member) {
+        return "life=" + member.life + " incarnation=" + member.incarnation + " by=" + name(member.reportedBy);
     }
 
-    /** Takes what is said of a member if it is newer than what is known; whether it was. */
-    boolean take(Member member, long life, int incarnation, State state, long by, long now) {
+    /**
+     * Applies a claim about a member if the claim supersedes the known state.
+     *
+     * @param by the id of the router that made the claim
+     * @return whether the claim was applied
+     */
+    boolean apply(Member member, long life, int incarnation, State state, long by, long now) {
         if (!member.isOlderThan(life, incarnation, state)) {
             return false;
         }
-        State was = member.state;
-        boolean anew = life > member.life;
-        fold(member);
-        if (anew) {
-            member.lives(life, incarnation, now);
+        State previous = member.state;
+        boolean newLife = life > member.life;
+        toggleInDigest(member);
+        if (newLife) {
+            member.startLife(life, incarnation, now);
         }
         if (member.incarnation != incarnation) {
             member.incarnation = incarnation;
@@ -179,65 +225,69 @@
             member.silentSince = 0;
         }
         member.state = state;
-        member.by = by;
-        if (was != state || anew) {
-            member.since = now;
-            member.afresh = 0;
+        member.reportedBy = by;
+        if (previous != state || newLife) {
+            member.stateSince = now;
+            member.messagesSinceFailure = 0;
         }
-        suspects += (state == State.SUSPECT ? 1 : 0) - (was == State.SUSPECT ? 1 : 0);
-        if (was.isGone() && !state.isGone()) {
+        suspects += (state == State.SUSPECT ? 1 : 0) - (previous == State.SUSPECT ? 1 : 0);
+        if (previous.isGone() && !state.isGone()) {
             gone.remove(member);
             rings.add(member.id);
             member.watchedSince = now;
-        } else if (!was.isGone() && state.isGone()) {
+        } else if (!previous.isGone() && state.isGone()) {
             gone.add(member);
             rings.remove(member.id);
         }
-        if (was == State.SUSPECT && state == State.ALIVE && by != self) {
-            member.vouchedFor(now);
+        if (previous == State.SUSPECT && state == State.ALIVE && by != self) {
+            member.recordVouch(now);
         }
         member.suspectUntil = state == State.SUSPECT ? now + settings.suspicionNanos() : 0;
-        fold(member);
-        news.add(member.id, record(member));
-        tell(member, was, anew);
+        toggleInDigest(member);
+        gossip.add(member.id, record(member));
+        report(member, previous, newLife);
         return true;
     }
 
-    private void tell(Member member, State was, boolean anew) {
-        if (was == member.state && !anew) {
+    /** Reports a change of a member's state or life to the port. */
+    private void report(Member member, State previous, boolean newLife) {
+        if (previous == member.state && !newLife) {
             return;
         }
         Kind kind = switch (member.state) {
-            case ALIVE -> anew ? Kind.JOINED : was == State.SUSPECT ? Kind.CLEARED : Kind.RETURNED;
+            case ALIVE -> newLife ? Kind.JOINED : previous == State.SUSPECT ? Kind.CLEARED : Kind.RETURNED;
             case SUSPECT -> Kind.SUSPECTED;
             case FAILED -> Kind.FAILED;
             case LEFT -> Kind.LEFT;
         };
-        sink.changed(new Change(kind, name(member.id), member.number, why(member) + " before=" + was.word()));
+        port.changed(new Change(kind, name(member.id), member.number, describe(member) + " before=" + previous.word()));
     }
 
-    /** Forgets those that have been gone for long. */
+    /** Removes the members that failed or left longer ago than the retention period. */
     void forget(long now) {
         if (gone.isEmpty()) {
             return;
         }
         List<Member> over = new ArrayList<>();
         for (Member member : members.values()) {
-            if (member.state.isGone() && now - member.since >= settings.forgetNanos()) {
+            if (member.state.isGone() && now - member.stateSince >= settings.forgetNanos()) {
                 over.add(member);
             }
         }
         for (Member member : over) {
             members.remove(member.id);
             gone.remove(member);
-            forgotten.put(member.id, new Tombstone(member.life, member.sequence));
+            tombstones.put(member.id, new Tombstone(member.life, member.sequence));
             full = false;
-            sink.changed(new Change(
-                    Kind.FORGOTTEN, name(member.id), member.number, why(member) + " before=" + member.state.word()));
+            port.changed(new Change(
+                    Kind.FORGOTTEN,
+                    name(member.id),
+                    member.number,
+                    describe(member) + " before=" + member.state.word()));
         }
     }
 
-    /** The numbers of those that are there, this router's own among them. */
+    /** Returns the peer numbers of the present members, including this router. */
     Set<Integer> numbers() {
         if (numbers == null || numbersVersion != rings.version()) {
             Set<Integer> found = new HashSet<>(Set.of(settings.number()));
@@ -252,22 +302,25 @@
         return numbers;
     }
 
-    /** How many are suspects. */
+    /** Returns the number of suspect members. */
     int suspects() {
         return suspects;
     }
 
-    /** Those that failed or left and are not forgotten. */
+    /** Returns the members that failed or left and are not forgotten yet. */
     Collection<Member> gone() {
         return gone;
     }
 
-    /** How many are there, this router among them. */
+    /** Returns the number of present members, including this router. */
     int present() {
         return rings.size();
     }
 
-    /** Who watches a member, without those that are suspects themselves and without {@code but}. */
+    /**
+     * Returns the ids of the routers that monitor a member, except those that are suspect themselves and except
+     * {@code but}.
+     */
     Set<Long> watchers(long id, long but) {
         Set<Long> watchers = new LinkedHashSet<>();
         for (long watcher : rings.watchers(id)) {
--- a/src/main/java/slateseam/tier/members/SelfState.java
+++ b/src/main/java/slateseam/tier/members/SelfState.java
@@ -2,119 +2,150 @@
 
 import slateseam.tier.members.Change.Kind;
 
-/** This router's own name in the tier: which life and incarnation of it this is, and what others say of it. */
+/**
+ * The identity of this router in the tier: its life and incarnation, and the handling of claims that others make
+ * about it.
+ */
 final class SelfState {
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000 * MILLI;
-    /** After its start a router may still take a later life than its clock gave it. */
-    private static final long YOUNG_NANOS = 3 * SECOND;
-    /** An answer to a suspicion should have come to all by then. */
-    private static final long UNHEARD_NANOS = 2 * SECOND;
+    /**
+     * For this long after its start, a router may replace its life by a later one than its clock gave. An earlier
+     * process of the same name may have had a clock that was ahead.
+     */
+    private static final long LIFE_RAISE_NANOS = 3 * SECOND;
+    /** The time in which a refutation should have reached all members. */
+    private static final long REFUTATION_SPREAD_NANOS = 2 * SECOND;
 
     private final MembersSettings settings;
     private final long self;
     private final long startedAt;
     private final Roster roster;
-    private final LocalHealth doubt;
-    private final MembersPort sink;
+    private final LocalHealth localHealth;
+    private final MembersPort port;
     private long life;
     private int incarnation;
     private int sequence;
-    /** When it last answered a suspicion of itself. */
-    private long answeredAt;
+    /** The time of the last refutation of a suspicion of this router. */
+    private long refutedAt;
 
-    private boolean raised;
-    private boolean twice;
-    private long twiceToldAt;
+    /** Whether the life has been replaced by a later one since the start. */
+    private boolean lifeRaised;
+    /** Whether another process with the same name has been detected. */
+    private boolean duplicateName;
+    /** The time at which the duplicate name was last reported; 0 if it has not been reported. */
+    private long duplicateReportedAt;
 
-    /** Begins a life: the milliseconds of its start. */
-    SelfState(MembersSettings settings, long self, long now, Roster roster, LocalHealth doubt, MembersPort sink) {
+    /**
+     * Starts a new life, identified by the milliseconds of its start.
+     *
+     * @param now Unix time in nanoseconds
+     */
+    SelfState(MembersSettings settings, long self, long now, Roster roster, LocalHealth localHealth, MembersPort port) {
         this.settings = settings;
         this.self = self;
         this.startedAt = now;
         this.roster = roster;
-        this.doubt = doubt;
-        this.sink = sink;
+        this.localHealth = localHealth;
+        this.port = port;
         life = now / MILLI;
-        roster.fold(self, life, incarnation);
+        roster.toggleInDigest(self, life, incarnation);
     }
 
+    /** Returns the current life in Unix milliseconds. */
     long life() {
         return life;
     }
 
+    /** Returns the current incarnation. */
     int incarnation() {
         return incarnation;
     }
 
-    /** The number of the next message. */
-    int next() {
+    /** Returns the sequence number of the next message. */
+    int nextSequence() {
         return ++sequence;
     }
 
-    boolean isTwice() {
-        return twice;
+    /** Returns whether another process with the same name has been detected. */
+    boolean hasDuplicateName() {
+        return duplicateName;
     }
 
-    /** Takes what others say of it; whether that was a suspicion that it answers now, as a later incarnation. */
-    boolean told(long ofLife, int anIncarnation, State state, long now) {
+    /**
+     * Handles a claim about this router.
+     *
+     * @return whether the claim was a suspicion or a failure that this router now refutes with a later incarnation or
+     *     life
+     */
+    boolean handleClaim(long ofLife, int anIncarnation, State state, long now) {
         if (ofLife != life) {
-            // They do not know this life, though it has been told for long.
-            if (ofLife < life && state.isGone() && now - startedAt > UNHEARD_NANOS) {
-                doubt.unheard(true);
+            // The claiming router does not know this life, although it has been announced for long enough.
+            if (ofLife < life && state.isGone() && now - startedAt > REFUTATION_SPREAD_NANOS) {
+                localHealth.setUnheard(true);
             }
-            other(ofLife, state, false, now);
+            handleOtherLife(ofLife, state, false, now);
         } else if (state == State.ALIVE && anIncarnation >= incarnation) {
-            is(life, anIncarnation);
-            doubt.unheard(false);
-        } else if (state.isGone() && anIncarnation < incarnation && now - answeredAt > UNHEARD_NANOS) {
-            doubt.unheard(true); // what it answered has not come to anybody
+            setIdentity(life, anIncarnation);
+            localHealth.setUnheard(false);
+        } else if (state.isGone() && anIncarnation < incarnation && now - refutedAt > REFUTATION_SPREAD_NANOS) {
+            localHealth.setUnheard(true); // the refutation has not reached the other members
         } else if (state != State.ALIVE && anIncarnation >= incarnation) {
-            answeredAt = now;
+            refutedAt = now;
             if (state.isGone()) {
-                doubt.unheard(true);
+                localHealth.setUnheard(true);
             }
-            if (anIncarnation >= Members.MOST_INCARNATIONS) {
-                lives(life + 1);
+            if (anIncarnation >= Members.MAX_INCARNATION) {
+                startLaterLife(life + 1);
             } else {
-                is(life, anIncarnation + 1);
+                setIdentity(life, anIncarnation + 1);
             }
             return true;
         }
         return false;
     }
 
-    /** A message came by its own name. */
-    void spokenBy(long ofLife, long now) {
-        other(ofLife, State.ALIVE, true, now);
+    /**
+     * Handles a message that was sent under this router's own name.
+     *
+     * @param ofLife the life in the message
+     */
+    void handleMessageOfOwnName(long ofLife, long now) {
+        handleOtherLife(ofLife, State.ALIVE, true, now);
     }
 
-    /** Another life by its name: an earlier one of a clock that was ahead, or another process. */
-    private void other(long ofLife, State state, boolean speaks, long now) {
-        boolean over = state.isGone(); // whoever lived it is there no longer
-        if (ofLife > life && (over || !raised && now - startedAt < YOUNG_NANOS)) {
-            raised = true;
-            lives(ofLife + 1);
-        } else if (ofLife > life || speaks && ofLife != life) {
-            twice = true;
-            if (twiceToldAt == 0 || now - twiceToldAt > Members.TWICE_AGAIN_NANOS) {
-                twiceToldAt = now;
-                sink.changed(new Change(
+    /**
+     * Handles a different life under this router's name: either an earlier process whose clock was ahead, or a second
+     * process that is still running.
+     *
+     * @param sentMessage whether the other life itself sent a message, as opposed to a claim by another router
+     */
+    private void handleOtherLife(long ofLife, State state, boolean sentMessage, long now) {
+        boolean ended = state.isGone(); // the process of that life has ended
+        if (ofLife > life && (ended || !lifeRaised && now - startedAt < LIFE_RAISE_NANOS)) {
+            lifeRaised = true;
+            startLaterLife(ofLife + 1);
+        } else if (ofLife > life || sentMessage && ofLife != life) {
+            duplicateName = true;
+            if (duplicateReportedAt == 0 || now - duplicateReportedAt > Members.DUPLICATE_NAME_REPORT_NANOS) {
+                duplicateReportedAt = now;
+                port.changed(new Change(
                         Kind.TWICE, settings.name(), settings.number(), "life=" + life + " other_life=" + ofLife));
             }
         }
     }
 
-    private void lives(long later) {
-        is(later, 0);
+    /** Continues in a later life. */
+    private void startLaterLife(long later) {
+        setIdentity(later, 0);
         sequence = 0;
     }
 
-    /** The digest of who is there has this router's own life and incarnation in it. */
-    private void is(long aLife, int anIncarnation) {
-        roster.fold(self, life, incarnation);
+    /** Sets the life and incarnation and updates the digest of the present members, which includes them. */
+    private void setIdentity(long aLife, int anIncarnation) {
+        roster.toggleInDigest(self, life, incarnation);
         life = aLife;
         incarnation = anIncarnation;
-        roster.fold(self, life, incarnation);
+        roster.toggleInDigest(self, life, incarnation);
     }
 }
--- a/src/main/java/slateseam/tier/members/Watch.java
+++ b/src/main/java/slateseam/tier/members/Watch.java
@@ -9,34 +9,38 @@
 import slateseam.tier.members.Message.Verdict;
 
 /**
- * Those whom this router watches. Silence alone accuses nobody: who hears nothing of a member asks the others that watch it, and one
- * who hears it is believed by all. A member is suspected once most of those that watch it, and are not suspects themselves, hear
- * nothing of it; it has failed if then nobody answers for it.
+ * The failure detector for the members that this router monitors. Silence towards one router is not enough for a
+ * suspicion: a router that hears nothing from a member asks the other routers that monitor the member, and a single
+ * router that hears the member is believed. A member becomes suspect once most of the routers that monitor it, not
+ * counting suspects, hear nothing from it; the member is declared failed if nobody refutes the suspicion in time.
  */
 final class Watch {
-    /** Periods after which other watchers that say nothing are no longer waited for. */
-    /** Of one member: others whose last word on whether they hear it is kept. */
-    private static final int MOST_EARS = 1_024;
+    /** Limit on the routers whose last verdict on one member is kept. */
+    private static final int MAX_VERDICTS = 1_024;
 
-    private static final int UNANSWERED = 3;
-    /** Periods for which a verdict holds; it is said again each period. */
-    private static final int HOLDS = 3;
+    /** Periods of silence after which missing verdicts of other routers are no longer awaited. */
+    private static final int VERDICT_WAIT_PERIODS = 3;
+    /** Periods for which a verdict is valid; verdicts are repeated each period. */
+    private static final int VERDICT_VALID_PERIODS = 3;
 
-    private static final int LATE = 4;
+    /** Periods of silence after which a member is late, whatever its usual gaps are. */
+    private static final int LATE_PERIODS = 4;
 
     private final MembersSettings settings;
     private final long self;
     private final Roster roster;
     private final BiConsumer<Member, Verdict> tell;
+    /** The members that this router monitors, for version {@link #ringsVersion} of the rings. */
     private List<Member> subjects = new ArrayList<>();
-    private int seen = -1;
-    /** Of the last look. */
-    private long time;
+
+    private int ringsVersion = -1;
+    /** The time of the last check of all monitored members. */
+    private long lastCheckAt;
 
     /**
-     * Creates it.
+     * Creates a failure detector.
      *
-     * @param tell sends a verdict to another watcher
+     * @param tell sends a verdict to a member
      */
     Watch(MembersSettings settings, long self, Roster roster, BiConsumer<Member, Verdict> tell) {
         this.settings = settings;
@@ -45,17 +49,18 @@
         this.tell = tell;
     }
 
-    /** Those whom this router watches now. */
+    /** Returns the members that this router monitors now. */
     List<Member> subjects() {
-        if (seen != roster.rings.version()) {
-            seen = roster.rings.version();
+        if (ringsVersion != roster.rings.version()) {
+            ringsVersion = roster.rings.version();
             List<Member> found = new ArrayList<>();
             for (long id : roster.rings.subjects(self)) {
                 Member member = roster.find(id);
                 if (member != null) {
-                    // Guards against one that is accused for the time in which nobody here listened for it.
-                    member.watchedSince =
-                            subjects.contains(member) ? member.watchedSince : Math.max(member.watchedSince, time);
+                    // A newly monitored member is not held responsible for its silence before the monitoring started.
+                    member.watchedSince = subjects.contains(member)
+                            ? member.watchedSince
+                            : Math.max(member.watchedSince, lastCheckAt);
                     found.add(member);
                 }
             }
@@ -64,53 +69,68 @@
         return subjects;
     }
 
+    /** Returns whether a member has been silent for longer than its own time-out, which follows its usual gaps. */
     boolean isSilent(Member member, long now) {
-        return now - Math.max(member.heardAt, member.watchedSince) > member.patience(settings.periodNanos());
+        return now - Math.max(member.heardAt, member.watchedSince) > member.silenceTimeout(settings.periodNanos());
     }
 
-    /** Whether it has not heard it for longer than a message or two take to be lost, whatever its usual gaps are. */
+    /**
+     * Returns whether a member has been silent for longer than the loss of a message or two explains, whatever its
+     * usual gaps are.
+     */
     boolean isLate(Member member, long now) {
-        return now - Math.max(member.heardAt, member.watchedSince) > LATE * settings.periodNanos();
+        return now - Math.max(member.heardAt, member.watchedSince) > LATE_PERIODS * settings.periodNanos();
     }
 
-    /** Whether it has heard it just now, so that others can be told. */
+    /**
+     * Returns whether a message of a member arrived within the last one and a half periods, which is recent enough to
+     * vouch for it to others.
+     */
     boolean heardNow(Member member, long now) {
         return member.heardAt != 0 && now - member.heardAt <= 3 * settings.periodNanos() / 2;
     }
 
-    /** Whether it has heard it lately, whoever watches it. */
+    /** Returns whether messages of a member arrive here, whether or not this router monitors it. */
     boolean hears(Member member, long now) {
-        return member.heardAt != 0 && now - member.heardAt <= member.patience(settings.periodNanos());
+        return member.heardAt != 0 && now - member.heardAt <= member.silenceTimeout(settings.periodNanos());
     }
 
-    /** Looks at all subjects; suspects those of whom most watchers hear nothing. */
-    void look(long now, boolean doubts) {
-        time = now;
+    /**
+     * Checks all monitored members, sends verdicts on the silent ones, and suspects those that most monitoring
+     * routers do not hear.
+     *
+     * @param doubts whether this router distrusts its own view; it then suspects nobody
+     */
+    void checkSubjects(long now, boolean doubts) {
+        lastCheckAt = now;
         for (Member member : List.copyOf(subjects())) {
             if (!isSilent(member, now)) {
                 continue;
             }
             member.silentSince = member.silentSince == 0 ? now : member.silentSince;
-            if (now - member.toldAt >= settings.periodNanos()) {
-                member.toldAt = now;
-                Verdict mine =
+            if (now - member.verdictSentAt >= settings.periodNanos()) {
+                member.verdictSentAt = now;
+                Verdict ownVerdict =
                         new Verdict(member.id, member.life, member.incarnation, doubts ? Ear.UNSURE : Ear.SILENT);
                 for (long other : roster.watchers(member.id, self)) {
-                    tell.accept(roster.find(other), mine);
+                    tell.accept(roster.find(other), ownVerdict);
                 }
-                // Itself too: it may not know yet that it is watched from here, and answers.
-                tell.accept(member, mine);
+                // The member is informed too: it may not know yet that this router monitors it, and replies.
+                tell.accept(member, ownVerdict);
             }
             if (!doubts
                     && member.state == State.ALIVE
                     && now - member.silentSince >= settings.periodNanos()
                     && isUnheard(member, now)) {
-                roster.take(member, member.life, member.incarnation, State.SUSPECT, self, now);
+                roster.apply(member, member.life, member.incarnation, State.SUSPECT, self, now);
             }
         }
     }
 
-    /** Whether nobody hears it and most of those that could say so have said so, or have said nothing for long. */
+    /**
+     * Returns whether no router is known to hear a member and most of the routers that monitor it have reported its
+     * silence, or have not answered for several periods.
+     */
     private boolean isUnheard(Member member, long now) {
         if (now < member.vouchedUntil) {
             return false;
@@ -131,11 +151,11 @@
             }
         }
         return silent > (others.size() + 1 - unsure) / 2
-                || now - member.silentSince >= UNANSWERED * settings.periodNanos();
+                || now - member.silentSince >= VERDICT_WAIT_PERIODS * settings.periodNanos();
     }
 
-    /** Another router says whether it hears a member. */
-    void said(Member by, Verdict verdict, long now) {
+    /** Handles the verdict of another router on a member. */
+    void handleVerdict(Member by, Verdict verdict, long now) {
         Member member = roster.find(verdict.id());
         if (member == null
                 || verdict.life() != member.life
@@ -143,44 +163,55 @@
                 || verdict.ear() != Ear.HEARS && verdict.incarnation() != member.incarnation) {
             return;
         }
-        if (member.ears.size() < MOST_EARS) {
-            member.ears.put(by.id, new Heard(verdict.ear(), now + HOLDS * settings.periodNanos()));
+        if (member.ears.size() < MAX_VERDICTS) {
+            member.ears.put(by.id, new Heard(verdict.ear(), now + VERDICT_VALID_PERIODS * settings.periodNanos()));
         }
         if (verdict.ear() != Ear.HEARS && heardNow(member, now)) {
             tell.accept(by, new Verdict(member.id, member.life, member.incarnation, Ear.HEARS));
         }
     }
 
-    /** Those whose time to answer is over have failed. */
-    void judge(long now, boolean doubts) {
+    /**
+     * Declares the suspects failed whose time for a refutation has expired.
+     *
+     * @param doubts whether this router distrusts its own view; it then declares nobody failed
+     */
+    void failExpiredSuspects(long now, boolean doubts) {
         if (roster.suspects() == 0) {
             return;
         }
         List<Member> over = new ArrayList<>();
         for (Member member : roster.all()) {
             if (member.state == State.SUSPECT && doubts) {
-                // Whoever doubted itself gives everybody the whole time anew.
+                // While this router distrusts its view, every suspect gets the full time for a refutation again.
                 member.suspectUntil = now + settings.suspicionNanos();
             } else if (member.state == State.SUSPECT && now >= member.suspectUntil) {
                 over.add(member);
             }
         }
         for (Member member : over) {
-            roster.take(member, member.life, member.incarnation, State.FAILED, self, now);
+            roster.apply(member, member.life, member.incarnation, State.FAILED, self, now);
         }
     }
 
-    /** This router doubts itself no longer: it listens anew, and accuses nobody for what it did not hear meanwhile. */
-    void listenAnew(long now) {
+    /**
+     * Restarts the silence of all members from now, when this router trusts its view again, so that nobody is
+     * suspected for messages that were missed in the meantime.
+     */
+    void restartSilence(long now) {
         for (Member member : roster.all()) {
             member.watchedSince = now;
             member.silentSince = 0;
         }
     }
 
-    /** What fell into this router's own pause was nobody's silence. */
-    void shift(long nanos, long now) {
-        time = now;
+    /**
+     * Compensates for a pause of this router, which is not silence of the others.
+     *
+     * @param nanos the length of the pause
+     */
+    void compensatePause(long nanos, long now) {
+        lastCheckAt = now;
         for (Member member : roster.all()) {
             member.watchedSince = now;
             member.silentSince = 0;
--- a/src/test/java/slateseam/simulate/tier/MembersEveryCutTest.java
+++ b/src/test/java/slateseam/simulate/tier/MembersEveryCutTest.java
@@ -14,67 +14,71 @@
 import slateseam.tier.members.State;
 
 /**
- * Every pattern of one-sided cuts among few members, none left out: three in two patterns one after another, four in one. Held against
- * each: whoever ways lead to and back from, over others, counts as alive; who declares one failed does not doubt itself and sees a majority; and
- * when all cuts are over all see the same.
+ * Plays every pattern of one-way network cuts among few members: all pairs of consecutive patterns for three members,
+ * and all single patterns for four. In each run, a member with paths to and from an observer, possibly through
+ * others, must not be declared failed by the observer; a router that declares a member failed must be able to hear a
+ * majority; and after all cuts have ended, all members must have the same view and trust it.
  */
 class MembersEveryCutTest {
     private static final long SECOND = 1_000_000_000L;
-    private static final long HELD = 6 * SECOND;
-    private static final long HEALED = 8 * SECOND;
+    /** The time for which each pattern of cuts lasts. */
+    private static final long CUT_NANOS = 6 * SECOND;
+    /** The time after the last cut in which the views must become equal. */
+    private static final long HEAL_NANOS = 8 * SECOND;
 
-    private static int ways(int n) {
+    /** Returns the number of one-way links between {@code n} members. */
+    private static int linkCount(int n) {
         return n * (n - 1);
     }
 
-    /** The way that a bit of a pattern stands for. */
-    private static int[] way(int n, int bit) {
+    /** Returns the sender and the receiver of the link that a bit of a pattern stands for. */
+    private static int[] link(int n, int bit) {
         int from = bit / (n - 1);
         int to = bit % (n - 1);
         return new int[] {from, to < from ? to : to + 1};
     }
 
     private static void cut(MembersWorld world, int n, int pattern, boolean on) {
-        for (int bit = 0; bit < ways(n); bit++) {
+        for (int bit = 0; bit < linkCount(n); bit++) {
             if ((pattern >> bit & 1) != 0) {
-                world.cut(way(n, bit)[0], way(n, bit)[1], on);
+                world.cut(link(n, bit)[0], link(n, bit)[1], on);
             }
         }
     }
 
-    /** Whether messages get from each to each other, by way of others too. */
-    private static boolean[][] reaches(int n, int pattern) {
-        boolean[][] reaches = new boolean[n][n];
-        for (int bit = 0; bit < ways(n); bit++) {
-            reaches[way(n, bit)[0]][way(n, bit)[1]] = (pattern >> bit & 1) == 0;
+    /** Returns which members can reach which others under a pattern, directly or through others. */
+    private static boolean[][] reachable(int n, int pattern) {
+        boolean[][] reachable = new boolean[n][n];
+        for (int bit = 0; bit < linkCount(n); bit++) {
+            reachable[link(n, bit)[0]][link(n, bit)[1]] = (pattern >> bit & 1) == 0;
         }
         for (int by = 0; by < n; by++) {
             for (int from = 0; from < n; from++) {
                 for (int to = 0; to < n; to++) {
-                    reaches[from][to] |= reaches[from][by] && reaches[by][to];
+                    reachable[from][to] |= reachable[from][by] && reachable[by][to];
                 }
             }
         }
-        return reaches;
+        return reachable;
     }
 
-    /** What broke in one play; null if nothing did. */
-    private static String broken(int n, int... patterns) {
+    /** Plays consecutive patterns and describes the first violation; returns null if there is none. */
+    private static String violation(int n, int... patterns) {
         MembersWorld world = new MembersWorld(n, 1, Ways.USUAL, UnaryOperator.identity());
         IntStream.range(0, n).forEach(world::start);
         world.run(3 * SECOND);
         for (int pattern : patterns) {
             cut(world, n, pattern, true);
-            world.run(HELD);
-            boolean[][] reaches = reaches(n, pattern);
+            world.run(CUT_NANOS);
+            boolean[][] reachable = reachable(n, pattern);
             for (int i = 0; i < n; i++) {
                 for (MemberView view : world.members(i).view()) {
                     int of = Integer.parseInt(view.name().substring("router-".length())) - 1;
-                    if (view.state() == State.FAILED && reaches[of][i] && reaches[i][of]) {
-                        return text(
+                    if (view.state() == State.FAILED && reachable[of][i] && reachable[i][of]) {
+                        return describe(
                                 n,
                                 patterns,
-                                "router " + i + " takes " + of + " for dead, though ways lead there and back");
+                                "router " + i + " holds " + of + " as failed although paths lead in both directions");
                     }
                 }
             }
@@ -83,39 +87,39 @@
         String decided = world.seen().stream()
                 .filter(one -> one.change().kind() == Kind.FAILED
                         && one.change().why().contains(" by=" + MembersWorld.name(one.by()) + " "))
-                .filter(one -> 2 * heard(n, one.by(), patterns) <= n)
+                .filter(one -> 2 * mostHeard(n, one.by(), patterns) <= n)
                 .findFirst()
-                .map(one -> text(n, patterns, one + ": it can hear no majority"))
+                .map(one -> describe(n, patterns, one + ": the declaring router cannot hear a majority"))
                 .orElse(null);
         if (decided != null) {
             return decided;
         }
-        world.run(HEALED);
-        boolean one = MembersFigures.isOne(world)
+        world.run(HEAL_NANOS);
+        boolean converged = MembersFigures.isOne(world)
                 && IntStream.range(0, n).allMatch(i -> world.members(i).doubt() == LocalHealthIssue.NONE);
-        return one ? null : text(n, patterns, "after all cuts not all see the same");
+        return converged ? null : describe(n, patterns, "the views differ or are distrusted after all cuts have ended");
     }
 
-    /** How many it can hear at the most in any of the patterns, itself among them. */
-    private static int heard(int n, int by, int... patterns) {
+    /** Returns the largest number of members, including itself, that a member can hear in any of the patterns. */
+    private static int mostHeard(int n, int by, int... patterns) {
         int most = 0;
         for (int pattern : patterns) {
-            boolean[][] reaches = reaches(n, pattern);
+            boolean[][] reachable = reachable(n, pattern);
             most = Math.max(
                     most,
                     1
                             + (int) IntStream.range(0, n)
-                                    .filter(i -> i != by && reaches[i][by])
+                                    .filter(i -> i != by && reachable[i][by])
                                     .count());
         }
         return most;
     }
 
-    private static String text(int n, int[] patterns, String what) {
+    private static String describe(int n, int[] patterns, String what) {
         StringBuilder text = new StringBuilder(n + " members, cut");
         for (int pattern : patterns) {
-            for (int bit = 0; bit < ways(n); bit++) {
-                text.append((pattern >> bit & 1) == 0 ? "" : " " + way(n, bit)[0] + ">" + way(n, bit)[1]);
+            for (int bit = 0; bit < linkCount(n); bit++) {
+                text.append((pattern >> bit & 1) == 0 ? "" : " " + link(n, bit)[0] + ">" + link(n, bit)[1]);
             }
             text.append(';');
         }
@@ -123,22 +127,22 @@
     }
 
     @Test
-    void threeInAnyTwoPatternsOneAfterAnother() {
-        List<String> broken = IntStream.range(0, 64 * 64)
+    void threeMembersUnderAnyTwoConsecutivePatterns() {
+        List<String> violations = IntStream.range(0, 64 * 64)
                 .parallel()
-                .mapToObj(i -> broken(3, i / 64, i % 64))
+                .mapToObj(i -> violation(3, i / 64, i % 64))
                 .filter(Objects::nonNull)
                 .toList();
-        assertThat(broken).isEmpty();
+        assertThat(violations).isEmpty();
     }
 
     @Test
-    void fourInAnyPattern() {
-        List<String> broken = IntStream.range(0, 1 << ways(4))
+    void fourMembersUnderAnyPattern() {
+        List<String> violations = IntStream.range(0, 1 << linkCount(4))
                 .parallel()
-                .mapToObj(i -> broken(4, i))
+                .mapToObj(i -> violation(4, i))
                 .filter(Objects::nonNull)
                 .toList();
-        assertThat(broken).isEmpty();
+        assertThat(violations).isEmpty();
     }
 }
