--- a/src/main/java/slateseam/decision/Cluster.java
+++ b/src/main/java/slateseam/decision/Cluster.java
@@ -9,15 +9,23 @@
 import slateseam.decision.Api.Member;
 import slateseam.decision.Api.MembersChanged;
 
-/** The member list: who may be sent to, which cache server a key belongs to, and how they fare together. */
+/**
+ * Maintains the servers of the member list, maps keys to cache servers and tells whether most cache servers fail at the
+ * same time.
+ */
 final class Cluster {
-    /** Of the ready cache servers; if more fail, they share a cause. */
+    /**
+     * The largest fraction of the ready cache servers that may be ejected; if more of them fail, they share a cause.
+     */
     static final double MOST_EJECTED = 0.5;
-    /** Hashes that are tried for a key. */
+    /** The number of hashes of a key that are tried before the slots are searched in sequence. */
     private static final int SALTS = 128;
 
+    /** The odd integer nearest to 2^64 divided by the golden ratio; multiples of it give well-spread salts. */
     private static final long SALT_STEP = 0x9e3779b97f4a7c15L;
+    /** The servers by member id: all that are listed, and unlisted ones with outstanding attempts. */
     final TreeMap<Long, UpstreamServer> servers = new TreeMap<>();
+
     final FarmHealth health = new FarmHealth();
     private final SlotTable slots = new SlotTable();
     private final DecisionContext context;
@@ -33,22 +41,25 @@
         slowStart = new SlowStart(context, traffic);
     }
 
-    /** Where misses are fetched; null where caches fetch themselves, or none is ready. */
+    /**
+     * Returns the origin from which the router fetches misses; null if caches fetch by themselves or no origin is
+     * ready.
+     */
     UpstreamServer origin() {
         return origin;
     }
 
-    /** How many cache servers are listed as ready. */
+    /** Returns the number of cache servers that are listed as ready. */
     int readyCaches() {
         return readyCaches;
     }
 
-    /** How many listed cache servers get nothing now: they drain, or are ejected. */
+    /** Returns the number of listed cache servers that get no requests now because they are draining or ejected. */
     int avoided() {
         return (int) servers.values().stream().filter(UpstreamServer::isAvoided).count();
     }
 
-    /** Takes a list, or what has changed of it. */
+    /** Applies a full member list or a change to the list, and places the cache servers again. */
     void changed(MembersChanged event) {
         if (event.kind() != ListKind.DELTA) {
             removeUnlisted(event.members());
@@ -59,7 +70,7 @@
                 .filter(server -> aside && server.isOrigin() && server.ready())
                 .findFirst()
                 .orElse(null);
-        // Guards against a map that grows with every member that was ever replaced.
+        // Without this the map would grow with each member that is replaced.
         servers.values().removeIf(server -> server.member.isGone() && server.outstanding == 0);
         List<UpstreamServer> caches = servers.values().stream()
                 .filter(server -> !server.isOrigin() && !server.member.isGone())
@@ -96,9 +107,16 @@
         server.member = member;
     }
 
-    /** The cache server of a key by jump consistent hash, other than {@code not}; null if none is to be used. */
+    /**
+     * Returns the cache server that a key is placed on by jump consistent hashing.
+     *
+     * @param not a server that must not be returned; null for no exception
+     * @return the cache server; null if no cache server can take the key
+     */
     UpstreamServer home(long key, UpstreamServer not) {
-        // A key that meets an empty slot, or a new member not due it yet, stays where it was before.
+        // A key whose hash gives an empty slot, or a starting server that does not take the key yet, goes on to its
+        // next
+        // hash. The key thus stays on the server that it had before the slot was filled.
         for (int salt = 0; salt < SALTS && readyCaches > 0; salt++) {
             long hash = salt == 0 ? key : JumpHash.mix(key + salt * SALT_STEP);
             UpstreamServer server = slots.at(hash);
@@ -106,7 +124,9 @@
                 return server;
             }
         }
-        // All the hashes may have missed the few that are left of many: then the next one behind the key's own slot.
+        // If few of many servers are left, all hashes may miss them. Then the next usable server behind the key's own
+        // slot
+        // takes the key.
         int own = slots.slotOf(key);
         for (int step = 0; step < slots.size(); step++) {
             UpstreamServer server = slots.behind(own, step);
@@ -117,6 +137,7 @@
         return null;
     }
 
+    /** Whether a slot holds a usable server, other than {@code not}, that takes a key with this hash. */
     private boolean takes(UpstreamServer server, long hash, UpstreamServer not) {
         return server != null
                 && server != not
@@ -124,18 +145,24 @@
                 && slowStart.admits(server, hash, topRating, readyCaches);
     }
 
-    /** Whether most caches have failed within the time that one would be ejected for. */
+    /** Whether most caches have failed within the length of a first ejection. */
     boolean strained() {
         long since = context.now() - UpstreamServer.firstEjection(context);
         return health.failedPart(since) > MOST_EJECTED;
     }
 
-    /** Whether most caches have only begun to answer, or fail together: then none is full for good. */
+    /**
+     * Whether most caches have not yet answered for some time, or fail together. A lack of room is then temporary, so
+     * that requests may wait for it.
+     */
     boolean unsettled() {
         return strained() || health.provenPart(context.now() - UpstreamServer.HICCUP) < MOST_EJECTED;
     }
 
-    /** What this router's work needs at the usual answer time, were it spread evenly. */
+    /**
+     * Returns the window that this router needs at each cache at the usual answer time if its requests are spread
+     * evenly over the ready caches; at least 1.
+     */
     double fairWindow() {
         double out = traffic.arrivals.perSecond() * traffic.answerTime() / Timing.SECOND;
         return Math.max(1, Math.min(UpstreamServer.START_WINDOW / 2, out / Math.max(1, readyCaches)));
--- a/src/main/java/slateseam/decision/ColdBucket.java
+++ b/src/main/java/slateseam/decision/ColdBucket.java
@@ -1,33 +1,49 @@
 package slateseam.decision;
 
 /**
- * A token bucket for what one router may send to one cold cache. A cold cache falls under the sum of what all routers send, so
- * what holds must hold for that sum, without a word between them.
+ * A token bucket for the requests that one router may send to one cold cache. A cold cache falls over under the sum of
+ * the load of all routers, so the limit must hold for that sum, without communication between the routers.
  *
- * <p>With a rate of r tokens a second and a window of W it holds at most a quarter of a window's tokens, but one where that is
- * less, and it begins with those of one window and a drawn part of one. As the rates add up to half of what the cache bears in a
- * window ({@link SlowStart} sets them so, for caches at full load), all routers together send at most the whole of it in the first
- * window, whatever they want to send, but for chance. A bucket that is full when its cache is first seen, as one that begins
- * anew with its router, lets through one for each router in one instant, however many there are.
+ * <p>A bucket holds at most the tokens of a quarter of the overload window, or one token if that is less. The bucket
+ * is first filled with the tokens of a whole window and a random fraction of one token, up to that capacity.
+ * {@link SlowStart} sets the rates so that at full load they add up to half of what the cache can bear in a window. Apart
+ * from random variation, all routers together then send no more in the first window than the cache can bear, whatever
+ * the demand. If each bucket were full when its cache is first seen, or when its router restarts, each router could
+ * send one request at the same instant, however many routers there are.
  *
- * <p>Later the bound is half of what the cache bears and one for each router. Up to some thirty routers that stays within chance.
- * Of a hundred it takes all of them to stay away from the cache for some seconds and then to come together to go beyond it; a
- * token that does not last would forbid that too, but then many thin routers hardly use the warm-up (7% of what is due).
+ * <p>In later windows the bound is half of what the cache can bear plus one request for each router. For up to about
+ * 30 routers that is within random variation. With 100 routers the limit is exceeded only if all of them send nothing
+ * to the cache for some seconds and then send at the same time. Tokens that expire would rule that out, but then many
+ * routers with little traffic each would hardly use the warm-up (7% of the load that the cache may get).
  */
 final class ColdBucket {
     private static final double SECOND = 1e9;
+    /** The capacity of a bucket as a fraction of the tokens issued in one window. */
     private static final double BURST_PART = 0.25;
+
     private final double phase;
     private double tokens;
     private long seenAt;
     private boolean seen;
 
-    /** Creates one at a phase of 0 to 1, to be drawn apart from other routers'. */
+    /**
+     * Creates a bucket.
+     *
+     * @param phase the fraction of a token, from 0 to 1, that is added to the first fill; drawn independently by each
+     * router
+     */
     ColdBucket(double phase) {
         this.phase = phase;
     }
 
-    /** Takes a token if there is one, when so many are issued a second and the cache may fall within a window. */
+    /**
+     * Takes a token if there is one.
+     *
+     * @param perSecond the tokens that are issued a second at present
+     * @param windowNanos the window over which an overload makes the cache fall over
+     * @param now the present time in nanoseconds
+     * @return whether a token was taken
+     */
     boolean take(double perSecond, long windowNanos, long now) {
         double ofAWindow = perSecond * windowNanos / SECOND;
         tokens = seen ? tokens + perSecond * (now - seenAt) / SECOND : ofAWindow + phase;
--- a/src/main/java/slateseam/decision/DiscoverySubscription.java
+++ b/src/main/java/slateseam/decision/DiscoverySubscription.java
@@ -3,11 +3,11 @@
 import slateseam.decision.Api.SetTimer;
 import slateseam.decision.Api.Subscribe;
 
-/** When discovery is asked for the member list, on sites where it must be asked. */
+/** Schedules the requests for the member list on sites where discovery has to be asked for it. */
 final class DiscoverySubscription {
-    /** Of the timer after which the list is to be asked for. */
+    /** The tag of the timer after which discovery is asked for the list. */
     static final int TIMER_TAG = 2;
-    /** Doublings of the time between two calls, after calls that failed. */
+    /** The largest number of doublings of the delay between two calls that fail in succession. */
     private static final int MOST_DOUBLINGS = 2;
 
     private final DecisionContext context;
@@ -17,27 +17,33 @@
         this.context = context;
     }
 
-    /** Asks once at a start, spread over a time that follows from how many routers there are. */
+    /**
+     * Schedules the first request at a start. The delay is random, up to a maximum that grows with the number of
+     * routers, so that routers which start together do not all ask at once.
+     */
     void start() {
         if (context.settings().askedDiscovery()) {
             askWithin(Math.min(Timing.SECOND, context.settings().routers() * Timing.TICK));
         }
     }
 
-    /** Its timer has fired. */
+    /** Asks discovery for the list; called when the timer with {@link #TIMER_TAG} fires. */
     void ask() {
         context.emit(new Subscribe());
     }
 
+    /** Schedules another request after a failed one, with exponential back-off. */
     void failed() {
         askWithin(Timing.SECOND << Math.min(failedCalls, MOST_DOUBLINGS));
         failedCalls++;
     }
 
+    /** Resets the back-off after a list was received. */
     void succeeded() {
         failedCalls = 0;
     }
 
+    /** Sets the timer to a random delay of at most so many nanoseconds. */
     private void askWithin(long nanos) {
         context.emit(new SetTimer(TIMER_TAG, 1 + context.random.nextLong(nanos)));
     }
--- a/src/main/java/slateseam/decision/FarmHealth.java
+++ b/src/main/java/slateseam/decision/FarmHealth.java
@@ -3,30 +3,33 @@
 import java.util.List;
 
 /**
- * What happens to the ready caches of the farm at the same time, so that none is blamed for what befalls most of them.
- * It counts; {@link OutlierDetection} decides. As many entries as the list has ready caches; each count looks at all of them.
+ * Aggregates the health of all ready caches of the farm, to tell a failure common to most of them from the failure of
+ * one. This class counts; {@link OutlierDetection} decides on ejections. Each count visits every ready cache.
  */
 final class FarmHealth {
     private List<? extends Health> caches = List.of();
 
-    /** Takes the caches that are ready now. */
+    /** Sets the caches that are ready now. */
     void ready(List<? extends Health> ready) {
         caches = ready;
     }
 
-    /** The part of the caches that have failed since a time; 0 where there is none. */
+    /** Returns the fraction of the ready caches that have failed since a time; 0 if there are no ready caches. */
     double failedPart(long since) {
         return part(caches.stream()
                 .filter(h -> h.failedAt != 0 && h.failedAt >= since)
                 .count());
     }
 
-    /** The part that has so many failures in a row that it is left alone, or is to be tried first. */
+    /**
+     * Returns the fraction of the ready caches whose run of failures has reached a limit: each of these is ejected, or
+     * gets a trial request before any others.
+     */
     double ejectedPart(int failures) {
         return part(caches.stream().filter(h -> h.failures >= failures).count());
     }
 
-    /** The part that first answered this router, since its own last start, before a time. */
+    /** Returns the fraction of the ready caches whose first answer since their last start came before a time. */
     double provenPart(long before) {
         return part(caches.stream()
                 .filter(h -> h.provenAt != 0 && h.provenAt < before)
@@ -34,8 +37,13 @@
     }
 
     /**
-     * Takes back the ejections since a time of those that have not been silent for longer than this: they were the
-     * first of many. Each is left one failure short of this many, and with at least this window.
+     * Revokes the recent ejections of caches that still respond, once most caches fail: those ejected first failed for
+     * the same reason as the others. Also widens the windows of the caches that failed recently.
+     *
+     * @param since the time from which on ejections and failures are recent
+     * @param silence the longest silence, in nanoseconds, of a cache whose ejection is revoked
+     * @param failures the run of failures that ejects; a readmitted cache is left one short of it
+     * @param window the smallest window that a cache which failed recently is left with
      */
     void forgive(long since, long silence, int failures, double window, long now) {
         for (Health h : caches) {
--- a/src/main/java/slateseam/decision/FetchTimes.java
+++ b/src/main/java/slateseam/decision/FetchTimes.java
@@ -1,64 +1,85 @@
 package slateseam.decision;
 
 /**
- * What fetches tell of the origin: how long they take lately, how long as a rule, and how many of them are lost. It
- * says what is slow; {@link OriginRate} decides what follows. Times are in nanoseconds.
+ * Detects overload of the origin from its fetches. Tracks the recent fetch time, the usual fetch time as a baseline,
+ * and the fraction of fetches that are lost. {@link OriginRate} decides on the rate of fetches. Times are in
+ * nanoseconds.
  */
 final class FetchTimes {
+    /** The recent fetch time, as a multiple of the usual one, above which fetches are slow. */
     private static final double SLOW = 2.5;
+    /** The recent fetch time, as a multiple of the usual one, below which no queue stands at the origin. */
     private static final double CALM = 1.5;
-    /** By a part of the aim: what is slower by less harms nobody. */
+    /** The rise over the usual fetch time, as a fraction of the aim, up to which slow fetches do no harm. */
     private static final double RISE = 0.15;
 
+    /** The fraction of lost fetches above which the origin is overloaded. */
     private static final double LOST_PART = 0.2;
+    /** The smallest weight of a fetch in the recent fetch time. */
     private static final double WEIGHT = 0.1;
+    /** The smallest weight with which the usual fetch time follows a recent time that is shorter. */
     private static final double QUICKER = 0.05;
+    /**
+     * The smallest weight with which the usual fetch time follows a recent time that is longer; small, so that the
+     * usual time hardly rises during an overload.
+     */
     private static final double SLOWER = 0.002;
-    /** Part of what is left over usual after a cut that counts as usual from then on. */
+    /**
+     * The fraction of the excess over the usual fetch time that becomes part of the usual time at a cut of the rate.
+     */
     private static final double KEPT = 0.03;
-    /** Fetches before which nothing is slow: nobody knows the usual time from fewer. */
+    /** The number of fetches before which nothing counts as slow: fewer do not show the usual time. */
     private static final int FEW = 10;
-    /** Fetches that count alike in the usual time. */
+    /** The number of first fetches whose times are averaged with equal weights. */
     private static final int ALIKE = 30;
 
     private int known;
     private double recent;
     private double usual;
+    /** The smoothed fraction of lost fetches. */
     private double lost;
 
-    /** How long a fetch takes lately; 0 before the first. */
+    /** Returns the smoothed time of recent fetches; 0 before the first. */
     double recent() {
         return recent;
     }
 
-    /** A fetch was answered. */
+    /** Records the time of a fetch that was answered. */
     void took(long nanos) {
         known = Math.min(ALIKE + 1, known + 1);
         double alike = known <= ALIKE ? 1.0 / known : 0;
         recent += Math.max(WEIGHT, alike) * (nanos - recent);
-        // Guards against a usual time that stays what the first few fetches took, quick by chance or as the origin had
-        // nothing to do: all that came later would look like an overload, R would be cut and not grow again.
+        // The first fetches may be quick by chance or because the origin is idle. If the usual time stayed at their
+        // times,
+        // all later fetches would look like an overload, and the rate R would be cut and not grow again.
         double pace = Math.max(alike, recent < usual ? QUICKER : SLOWER);
         usual += pace * (recent - usual);
     }
 
-    /** A fetch ended, and whether the origin let it down. */
+    /**
+     * Records the end of a fetch, answered or not.
+     *
+     * @param isLost whether the origin rejected the fetch as full or did not answer in time
+     */
     void ended(boolean isLost) {
         lost += LOST_PART / 4 * ((isLost ? 1 : 0) - lost);
     }
 
-    /** Whether the origin is asked for more than it can do. */
+    /**
+     * Whether the origin is overloaded: it loses too many fetches, or its fetches are slow enough to matter for the
+     * aim.
+     */
     boolean overloaded(long aim) {
         boolean slow = known >= FEW && recent > SLOW * usual && recent - usual > RISE * aim;
         return lost > LOST_PART || slow;
     }
 
-    /** Whether no queue stands at the origin. */
+    /** Whether no queue has built up at the origin. */
     boolean calm(long aim) {
         return recent < CALM * usual || recent - usual < RISE / 3 * aim;
     }
 
-    /** What was seen so far has been acted upon: new fetches must show an overload. */
+    /** Discards the signs of overload after the rate was cut for them: only new fetches can show another overload. */
     void forget() {
         usual += KEPT * (recent - usual);
         recent = usual;
--- a/src/main/java/slateseam/decision/Health.java
+++ b/src/main/java/slateseam/decision/Health.java
@@ -1,31 +1,42 @@
 package slateseam.decision;
 
 /**
- * How a member fares with this router: what it has out there, how it failed of late, and its window, which is how
- * much it may have out at once. It counts and keeps times; {@link OutlierDetection} decides what follows. Times are in
- * nanoseconds of the module's clock, 0 is never.
+ * The health of a server as one router sees it: the outstanding attempts, the recent failures and the concurrency
+ * window, which limits how many attempts may be outstanding. This class keeps the counts and times; {@link
+ * OutlierDetection} decides on ejections. Times are in nanoseconds of the module's clock; 0 stands for never.
  */
 class Health {
-    /** Failures in a row, weighted. */
+    /** The sum of the weights of the failures since the last answer. */
     int failures;
-    /** Attempts that are out. */
+    /** The number of attempts that have been sent and have not ended. */
     int outstanding;
-    /** How much may be out at once; below 1 it is the part of an answer time's attempts. */
+    /**
+     * The concurrency limit. A window below 1 permits one attempt at a time, and no more than that fraction of an
+     * attempt in the usual answer time.
+     */
     double window;
-    /** When it first answered this router since its own last start. */
+    /** The time of the server's first answer to this router since the server last started. */
     long provenAt;
-    /** When the first attempt went out since then. */
+    /** The time at which the first attempt was sent since the server last started. */
     long firstSentAt;
 
+    /** The time of the last failure; lost connections and unreadable answers do not count. */
     long failedAt;
+
+    /** The time at which the last ejection began. */
     long ejectedAt;
+    /** The end of the last ejection. */
     long ejectedUntil;
-    /** How long the next ejection lasts. */
+
+    /** The length of the next ejection in nanoseconds. */
     long ejection;
-    /** When the first attempt went out since something last came back; 0 while nothing is owed. */
+    /** The time of the first attempt sent since the last response of any kind; 0 if none has been sent since. */
     private long unansweredSince;
 
+    /** The time at which the last attempt was sent. */
     private long sentAt;
+
+    /** The time at which the window was last narrowed. */
     private long shrunkAt;
 
     Health(double window, long ejection) {
@@ -33,7 +44,7 @@
         this.ejection = ejection;
     }
 
-    /** An attempt goes out. */
+    /** Records that an attempt is sent. */
     void sent(long now) {
         outstanding++;
         sentAt = now;
@@ -45,40 +56,53 @@
         }
     }
 
-    /** An attempt has ended, however it did. */
+    /** Records that an attempt has ended, with whatever outcome. */
     void ended() {
         outstanding = Math.max(0, outstanding - 1);
     }
 
-    /** It has answered. */
+    /** Records an answer of the server: a hit or a miss. */
     void prove(long now) {
         provenAt = provenAt == 0 ? now : provenAt;
     }
 
-    /** Something of an attempt came back, if not what was asked for. */
+    /** Records that the server responded to an attempt in some way, be it with an error. */
     void cameBack() {
         unansweredSince = 0;
     }
 
-    /** For how long nothing has come back though something is owed. */
+    /** Returns how long the server has sent no response although attempts were sent to it, in nanoseconds; else 0. */
     long silentFor(long now) {
         return unansweredSince == 0 ? 0 : now - unansweredSince;
     }
 
-    /** Whether an attempt more fits into this part of the window, when answers usually take so long. */
+    /**
+     * Whether the window permits another attempt.
+     *
+     * @param part the fraction of the window that may be used
+     * @param answerTime the usual answer time in nanoseconds
+     */
     boolean hasRoom(double part, double answerTime, long now) {
-        // Guards against a cache that slows down when crowded, and stays slow until it gets some rest.
+        // A cache that is slow under overload stays slow until it has had some time without load, hence windows below
+        // 1.
         return outstanding < Math.max(1, window * part) && (window >= 1 || now - sentAt >= answerTime / window);
     }
 
-    /** Widens the window by one for each window of answers, while it is used. */
+    /** Widens the window by one for each window of answers, as long as at least half of the window is used. */
     void grow() {
         if (outstanding + 1 >= window / 2) {
             window += 1 / Math.max(1, window);
         }
     }
 
-    /** Narrows the window to a part of what is in use, once for the attempts that were out together. */
+    /**
+     * Narrows the window to a fraction of the part in use, once for all attempts that were outstanding at the same
+     * time.
+     *
+     * @param duration the duration in nanoseconds of the attempt that gives rise to this
+     * @param part the factor by which the window is narrowed
+     * @param least the floor of the window
+     */
     void shrink(long duration, double part, double least, long now) {
         if (now - duration < shrunkAt) {
             return;
@@ -87,13 +111,13 @@
         window = Math.max(Math.min(window, least), Math.min(window, outstanding + 1) * part);
     }
 
-    /** Leaves it alone for a time. */
+    /** Ejects the server for a time: no attempts are sent to an ejected server. */
     void eject(long nanos, long now) {
         ejectedAt = now;
         ejectedUntil = now + nanos;
     }
 
-    /** A new process of the same member: what the old one did is not held against it. */
+    /** Clears the record of the previous process after the server has restarted. */
     void restarted() {
         failures = 0;
         provenAt = 0;
--- a/src/main/java/slateseam/decision/HotKeys.java
+++ b/src/main/java/slateseam/decision/HotKeys.java
@@ -1,14 +1,17 @@
 package slateseam.decision;
 
-/** Spreads keys that are asked for very often over several cache servers. */
+/** Replicates keys that are read very often: spreads the reads of such a key over several cache servers. */
 final class HotKeys {
-    /** Reads of a key that are chance. */
+    /** The reads from which a key may be popular; fewer may be chance. */
     static final int FEW = 3;
-    /** Of a fair share of all reads: from there on a key is spread. */
+    /**
+     * The reads of a key from which the key is replicated, as a fraction of the reads that an average cache server
+     * gets.
+     */
     private static final double HOT_SHARE = 0.3;
-    /** The part of reads that miss at which copies are void. */
+    /** The fraction of the reads of a key that miss from which replicas bring nothing. */
     private static final double HOT_MISSES = 0.25;
-    /** Of the counts an interval, so that they span some 20 s. */
+    /** The factor by which the counts decay in each interval, so that they cover about 20 s. */
     private static final double FADE = 0.987;
 
     final KeyCounts counts = new KeyCounts();
@@ -18,7 +21,11 @@
         this.context = context;
     }
 
-    /** Guards against a hot key overloading its cache by copies; fewer the more reads find them void. */
+    /**
+     * Counts a read and returns the key by which the read is placed: the key itself, or for a hot key one of its
+     * replicas, drawn at random. Replicas keep a hot key from overloading a single cache server; a key has fewer of
+     * them the more of its reads miss.
+     */
     long replicaOf(long key, int readyCaches) {
         counts.read(key);
         double fairShares = counts.share(key) * readyCaches;
@@ -31,11 +38,12 @@
         return copy == 0 ? key : JumpHash.mix(key + copy);
     }
 
-    /** Whether the key is read so often that it may be slow for its own sake. */
+    /** Whether the key is read so often that its popularity alone may make its answers slow. */
     boolean isPopular(long key) {
         return counts.reads(key) >= FEW;
     }
 
+    /** Ends an interval: the counts decay. */
     void endInterval() {
         counts.fade(FADE);
     }
--- a/src/main/java/slateseam/decision/JumpHash.java
+++ b/src/main/java/slateseam/decision/JumpHash.java
@@ -1,12 +1,19 @@
 package slateseam.decision;
 
-/** Jump consistent hash (Lamping and Veach), and a mixing function; neither decides anything. */
+/** Jump consistent hashing (Lamping and Veach, 2014) and a 64-bit mixing function (the finalizer of SplitMix64). */
 final class JumpHash {
+    /** The multiplier of the linear congruential generator in the published algorithm. */
     private static final long MULTIPLIER = 2862933555777941757L;
 
     private JumpHash() {}
 
-    /** The bucket of a key among so many. */
+    /**
+     * Returns the bucket of a key. If the number of buckets grows from n to n + 1, a key stays in its bucket or moves
+     * to the new one.
+     *
+     * @param buckets the number of buckets, at least 1
+     * @return the bucket, from 0 to {@code buckets - 1}
+     */
     static int bucket(long key, int buckets) {
         long state = key;
         int bucket = -1;
@@ -18,14 +25,14 @@
         return bucket;
     }
 
-    /** Spreads the bits of a number over all of it. */
+    /** Returns a hash of a number: each bit of the argument affects all bits of the result. */
     static long mix(long x) {
         long z = (x ^ (x >>> 30)) * 0xbf58476d1ce4e5b9L;
         z = (z ^ (z >>> 27)) * 0x94d049bb133111ebL;
         return z ^ (z >>> 31);
     }
 
-    /** A number in [0, 1) that is the same for the same argument. */
+    /** Returns a pseudo-random number in [0, 1) that is determined by the argument. */
     static double unit(long x) {
         return (mix(x) >>> 11) * 0x1p-53;
     }
--- a/src/main/java/slateseam/decision/KeyCounts.java
+++ b/src/main/java/slateseam/decision/KeyCounts.java
@@ -6,16 +6,21 @@
 import java.util.Map;
 
 /**
- * Reads and misses of each key at this router, and the reads that its neighbours tell of. All fade with time;
- * a key not asked for lately is forgotten.
+ * Counts the reads and misses of each key at this router, and holds the read counts reported by its ring neighbours.
+ * All counts decay exponentially; keys that have not been read recently are dropped.
  */
 final class KeyCounts {
+    /** The decayed count of reads below which a key is dropped. */
     private static final double FORGOTTEN = 0.5;
-    /** Keys that are counted here at a time; while there are so many, a further one waits until some are forgotten. */
+    /** The largest number of keys counted at a time; while it is reached, further keys are not counted. */
     static final int MOST_KEYS = 8 * 1024;
-    /** From half of them on, keys that were read but once are forgotten at the end of the interval. */
+    /**
+     * The limit in place of the usual one while the table is more than half full: drops keys that were read only once.
+     */
     private static final double FORGOTTEN_EARLY = 1;
-    /** The key under which the reads of all keys are told; a request without a key is not counted. */
+    /**
+     * The key under which the reads of all keys are reported. No request has it: 0 stands for a request without a key.
+     */
     private static final long ALL = 0;
 
     private static final class Count {
@@ -23,11 +28,14 @@
         double misses;
     }
 
+    /** The counts of this router by key. */
     private final Map<Long, Count> own = new HashMap<>();
+    /** The read counts last reported by each ring neighbour: by router number, then by key. */
     private final Map<Integer, Map<Long, Double>> heard = new LinkedHashMap<>();
+    /** The decayed number of all reads at this router; starts at 1 because shares are divided by it. */
     private double total = 1;
 
-    /** Counts a read. */
+    /** Counts a read of a key. */
     void read(long key) {
         Count count = own.get(key);
         if (count == null && own.size() < MOST_KEYS) {
@@ -39,7 +47,7 @@
         total++;
     }
 
-    /** Counts a miss of a key that was read. */
+    /** Counts a miss of a key whose read was counted before. */
     void missed(long key) {
         Count count = own.get(key);
         if (count != null) {
@@ -47,42 +55,42 @@
         }
     }
 
-    /** Reads of the key here. */
+    /** Returns the decayed number of reads of the key at this router. */
     double reads(long key) {
         Count count = own.get(key);
         return count == null ? 0 : count.reads;
     }
 
-    /** Reads of the key here and at the neighbours. */
+    /** Returns the decayed number of reads of the key at this router and, as reported, at its ring neighbours. */
     double pooledReads(long key) {
         return reads(key) + heardReads(key);
     }
 
-    /** The key's part of all reads, here and at the neighbours. */
+    /** Returns the fraction of all reads, at this router and its ring neighbours, that are for the key. */
     double share(long key) {
         return pooledReads(key) / (total + heardReads(ALL));
     }
 
-    /** The part of this router's reads of the key that missed. */
+    /** Returns the fraction of this router's reads of the key that missed. */
     double missedPart(long key) {
         Count count = own.get(key);
         return count == null ? 0 : count.misses / count.reads;
     }
 
-    /** Keeps this part of every count. */
+    /** Multiplies every count by a factor below 1 and drops the keys that have become rare. */
     void fade(double part) {
         total = 1 + total * part;
         own.values().forEach(count -> {
             count.reads *= part;
             count.misses *= part;
         });
-        // Guards against one that asks for new keys only: popular ones must find a place.
+        // A client that reads only new keys must not fill the table, so that there is room for popular keys.
         double least = own.size() > MOST_KEYS / 2 ? FORGOTTEN_EARLY : FORGOTTEN;
         own.values().removeIf(count -> count.reads < least);
         heard.values().forEach(reads -> reads.replaceAll((key, count) -> count * part));
     }
 
-    /** Takes what a neighbour tells in place of what it told before; a message without room for keys tells nothing of them. */
+    /** Replaces the counts of a ring neighbour. An empty map, from a message without room for keys, changes nothing. */
     void hear(int from, Map<Long, Double> reads) {
         if (!reads.isEmpty()) {
             heard.put(from, new HashMap<>(reads));
@@ -90,8 +98,12 @@
     }
 
     /**
-     * What to tell a neighbour, in so many entries: the reads of all keys, then those of the most popular ones.
-     * A part of what the other neighbour tells is passed on.
+     * Returns the counts to report to a ring neighbour: the reads of all keys under key 0, then those of the most
+     * popular keys in descending order. They include a fraction of the counts reported by the other neighbour.
+     *
+     * @param to the router to report to; its own counts are left out
+     * @param entries the largest number of entries
+     * @param passedOn the factor for the counts of the other neighbour
      */
     Map<Long, Double> tell(int to, int entries, double passedOn) {
         if (entries <= 0) {
@@ -117,7 +129,7 @@
         return told;
     }
 
-    /** Reads of the key that the neighbours tell of. */
+    /** Returns the reads of the key that the ring neighbours have reported. */
     private double heardReads(long key) {
         double reads = 0;
         for (Map<Long, Double> theirs : heard.values()) {
--- a/src/main/java/slateseam/decision/OutlierDetection.java
+++ b/src/main/java/slateseam/decision/OutlierDetection.java
@@ -7,22 +7,28 @@
 import slateseam.decision.Api.Outcome;
 
 /**
- * What the outcome of an attempt tells of its server: narrows the window of one that is slow and ejects one that
- * loses work. Ejection is relative to the cluster, so that none is blamed for what befalls most.
+ * Passive outlier detection: infers the health of a server from the outcomes of the attempts sent to it. Narrows the
+ * concurrency window of a server that is slow and ejects a cache server that loses requests. Ejection is relative to
+ * the cluster: while most cache servers fail together, the cause is shared and no single server is ejected for it.
  */
 final class OutlierDetection {
-    /** What lost work weighs in a row of failures. */
+    /**
+     * The weight of a time-out, an error or a slow attempt that was cancelled in a server's run of failures. A
+     * connection that cannot be set up weighs 1.
+     */
     private static final int LOST_WORK = 2;
-    /** Of the aim; what takes longer narrows the window. */
+    /** The duration, as a fraction of the request class's aim, above which an answer is slow and narrows the window. */
     private static final double SLOW_ANSWER = 0.6;
 
+    /** The factor by which a slow answer or a failure narrows a window. */
     private static final double WINDOW_CUT = 0.75;
+    /** The floor of a window; a window below 1 spaces single attempts out in time. */
     private static final double LEAST_WINDOW = 0.1;
-    /** By the first ejection; it doubles three times. */
+    /** The longest ejection as a multiple of the first; ejections double in length three times. */
     private static final int MOST_EJECTION = 8;
-    /** For which idle connections are closed, after a refusal. */
+    /** How long idle connections to a server are closed after it refused a connection, in nanoseconds. */
     private static final long CROWDED = 20 * Timing.SECOND;
-    /** No sign of life; we end these ourselves. */
+    /** The outcomes that the router sets itself, without having received anything from the server. */
     private static final Set<Outcome> NOTHING_BACK =
             EnumSet.of(Outcome.CONNECT_FAILED, Outcome.UNSENT, Outcome.MOOT, Outcome.TIMEOUT, Outcome.CANCELLED);
 
@@ -48,17 +54,23 @@
         this.admission = admission;
     }
 
-    /** Takes the outcome of an attempt; {@code job} is null if the request has its answer. */
+    /**
+     * Updates the health of a server from the outcome of an attempt.
+     *
+     * @param server the server that the attempt was sent to
+     * @param job the request of the attempt; null if the request already has its final answer
+     */
     void attemptEnded(UpstreamServer server, AttemptEnded event, Job job) {
         server.ended();
         Outcome outcome = event.outcome();
         long aim = (job != null ? job.type : context.settings().classes().get(0)).aimNanos();
         boolean slow = event.durationNanos() > SLOW_ANSWER * aim;
-        // Nothing was sent: that tells of this router alone, or of a handshake that needs its time.
+        // Nothing was sent, which says something about this router alone, or about a handshake that is still within the
+        // connection time-out.
         if (outcome == Outcome.MOOT || outcome == Outcome.UNSENT && !server.silent()) {
             return;
         }
-        // What had little time from the start tells of the request and not of the server.
+        // An attempt with little time left from its start says something about the request, not about the server.
         if (outcome == Outcome.TIMEOUT && !slow && !server.isOrigin()) {
             return;
         }
@@ -66,8 +78,11 @@
             server.cameBack();
         }
         if (outcome.isMishap()) {
-            // Guards against sparing servers for what happens to all answers alike and tells nothing of
-            // their load. Only one that answers nothing else for a while is ejected.
+            // Lost connections and unreadable answers hit all servers alike and say nothing about their load. They
+            // leave the
+            // window alone and do not count towards the cluster's common failures, which would suspend ejection. A
+            // cache
+            // server is ejected only after a run of them without an answer in between.
             if (!server.isOrigin()) {
                 fail(server, 1);
             }
@@ -82,8 +97,9 @@
     }
 
     /**
-     * Guards against a server's connections being used up by idle ones of many routers. Not every server's: a process
-     * that died refuses too, and each request would cost a handshake.
+     * Closes idle connections to a server that recently refused a connection, so that the idle connections of many
+     * routers do not use up its connection limit. Idle connections to other servers stay open: a process that crashed
+     * refuses connections too, and closing them everywhere would cost each request a handshake.
      */
     private void closeIdleOfCrowded(UpstreamServer server, Outcome outcome) {
         if (outcome == Outcome.CONNECT_FAILED) {
@@ -108,12 +124,12 @@
         Outcome outcome = event.outcome();
         long duration = event.durationNanos();
         boolean served = outcome == Outcome.OK || outcome == Outcome.MISS;
-        // Guards against a few sick caches closing the door: a trial tells of the cache, not of the load,
-        // and a first attempt of its connection.
+        // Trial requests to an ejected cache say something about that cache, and first attempts about their connection,
+        // but not about the load. Counting them would make admission control shed load because of a few bad caches.
         if (server.failures < UpstreamServer.FAILURES && !server.early(duration)) {
             admission.attempted(slow || !served);
         }
-        // A miss is answered beside the queue and tells nothing of a cache that is overrun.
+        // A cache answers a miss without queueing it, so a miss does not show whether the cache is overloaded.
         if (outcome == Outcome.OK) {
             answered(server, slow, duration);
             traffic.answered(duration);
@@ -124,14 +140,18 @@
         }
     }
 
-    /** What a failure weighs in a row of them. */
+    /** Returns the weight of a failure in a server's run of failures. */
     private int weight(Outcome outcome, Job job) {
         boolean notUp = isNotUp(outcome);
-        // Of a large fleet's cache one failure is all the warning before the next request; but a
-        // popular key that is slow to serve must not drive its load from cache to cache.
+        // Where a cache gets less than one request a second from this router, as in a large fleet, a single failure has
+        // to
+        // suffice for an ejection. Failures on popular keys are exempt unless the cache cannot be reached: a popular
+        // key
+        // that is slow to serve would otherwise have one cache after another ejected as its load moves on.
         boolean popular = job != null && hotKeys.isPopular(job.asked.key());
         boolean seldom = cluster.readyCaches() > traffic.arrivals.perSecond() && (notUp || !popular);
-        // A full answer ejects: many routers' next requests would keep a full cache from the rest it needs.
+        // A cache that reports itself full is ejected at once: further requests of many routers would not let it
+        // recover.
         if (outcome == Outcome.FULL || seldom) {
             return UpstreamServer.FAILURES;
         }
@@ -146,7 +166,7 @@
         server.failures = 0;
         server.ejection = UpstreamServer.firstEjection(context);
         server.prove(context.now());
-        // Guards against narrowing a first window for what its connection took to come up.
+        // The first answers include the time for connection setup, which must not narrow the initial window.
         if (slow && !server.early(duration)) {
             shrink(server, duration);
         } else {
@@ -154,7 +174,10 @@
         }
     }
 
-    /** Misses alone bring one back that was ejected, but slowly: each answered trial counts one. */
+    /**
+     * Takes a miss. Misses alone readmit an ejected cache, but slowly: each trial request answered with a miss lowers
+     * the run of failures by one.
+     */
     private void missed(UpstreamServer server) {
         server.prove(context.now());
         if (server.failures >= UpstreamServer.FAILURES && context.now() >= server.ejectedUntil) {
@@ -163,9 +186,12 @@
     }
 
     private void failed(UpstreamServer server, long duration, int weight, boolean refused) {
-        // Guards against ejecting for what handshakes do to it; one that is down refuses connections.
+        // Slow handshakes make the first attempts fail and must not lead to an ejection. A refused connection counts
+        // all
+        // the same, as a server that is down refuses connections.
         boolean spared = server.early(duration) && !refused;
-        // Only here: mishaps befall all answers alike, and would hide one that is sick.
+        // Set for these failures only: lost connections and unreadable answers hit all servers alike, and would hide a
+        // failing server by making the failure look common to the cluster.
         server.failedAt = context.now();
         if (!spared) {
             shrink(server, duration);
@@ -173,7 +199,10 @@
         fail(server, spared ? 0 : weight);
     }
 
-    /** Ejection is relative to the cluster: what befalls most caches at once tells nothing of this one. */
+    /**
+     * Adds to a server's run of failures and ejects the server once the run is long enough. While most caches fail at
+     * once, or too many are ejected already, only a server that has been silent for too long is ejected.
+     */
     private void fail(UpstreamServer server, int weight) {
         long now = context.now();
         long firstEjection = UpstreamServer.firstEjection(context);
@@ -183,7 +212,9 @@
                     now - firstEjection, UpstreamServer.HICCUP, UpstreamServer.FAILURES, cluster.fairWindow(), now);
         }
         server.failures += weight;
-        // Guards against counting one mishap many times: nothing is sent while it is ejected.
+        // No attempts are sent during an ejection, so failures that arrive now belong to attempts from before it and
+        // must
+        // not extend it.
         if (server.failures < UpstreamServer.FAILURES || now < server.ejectedUntil) {
             return;
         }
@@ -199,12 +230,16 @@
         }
     }
 
-    /** The time in which two requests for one cache come; just after a start nobody knows how many come. */
+    /**
+     * Returns the time in nanoseconds in which this router sends two requests to one cache on average; 0 just after a
+     * start, while the arrival rate is not known.
+     */
     private double twoRequests() {
         Tally arrivals = traffic.arrivals;
         return arrivals.isSettled() ? 2 * Timing.SECOND * cluster.readyCaches() / arrivals.perSecond() : 0;
     }
 
+    /** Narrows a server's window; while most caches fail together, not below what an even share of the load needs. */
     private void shrink(UpstreamServer server, long duration) {
         boolean common = !server.isOrigin() && cluster.strained();
         server.shrink(duration, WINDOW_CUT, common ? cluster.fairWindow() : LEAST_WINDOW, context.now());
--- a/src/main/java/slateseam/decision/SlotTable.java
+++ b/src/main/java/slateseam/decision/SlotTable.java
@@ -3,18 +3,20 @@
 import java.util.List;
 
 /**
- * Cache servers in the slots of a hash table, with room to spare; the same at every router that has the same list.
- * Guards against moving other servers' keys when one leaves or comes: its slot alone empties or fills. As slots follow
- * from the list and not from its history, routers that started later have the same.
+ * Assigns cache servers to the slots of a sparse hash table. When a server leaves or joins, only its own slot is
+ * emptied or filled, so that the keys of other servers stay in place. The slots depend on the member list alone and
+ * not on its history, so routers with the same list have the same table whenever they started.
  */
 final class SlotTable {
     private static final int LEAST_SLOTS = 128;
-    /** Slots of a server, at least four of them to each. */
+    /**
+     * The slots for each server, before their number is rounded down to a power of two: each server has at least four.
+     */
     private static final int SLOTS_A_SERVER = 8;
 
     private UpstreamServer[] slots = new UpstreamServer[LEAST_SLOTS];
 
-    /** Takes another list in place of the one before. */
+    /** Assigns slots to a list of servers, which replaces the previous list. */
     void place(List<UpstreamServer> caches) {
         slots = new UpstreamServer[Math.max(LEAST_SLOTS, SLOTS_A_SERVER * Integer.highestOneBit(caches.size()))];
         for (UpstreamServer server : caches) {
@@ -26,22 +28,25 @@
         }
     }
 
-    /** The server of a hash; null where its slot is empty. */
+    /** Returns the server in the slot of a hash; null if the slot is empty. */
     UpstreamServer at(long hash) {
         return slots[slotOf(hash)];
     }
 
-    /** How many slots there are. */
+    /** Returns the number of slots, empty ones included. */
     int size() {
         return slots.length;
     }
 
-    /** The slot of a hash. */
+    /** Returns the index of the slot that a hash maps to. */
     int slotOf(long hash) {
         return JumpHash.bucket(hash, slots.length);
     }
 
-    /** The server so many slots behind another, round the table; null where that slot is empty. */
+    /**
+     * Returns the server in the slot {@code steps} after another; the table wraps around. Returns null if that slot is
+     * empty.
+     */
     UpstreamServer behind(int slot, int steps) {
         return slots[(slot + steps) % slots.length];
     }
--- a/src/main/java/slateseam/decision/SlowStart.java
+++ b/src/main/java/slateseam/decision/SlowStart.java
@@ -1,8 +1,14 @@
 package slateseam.decision;
 
-/** Holds cold cache servers to the part of the work that they are due. */
+/**
+ * Limits the load on cache servers that have recently started and whose cache is cold: such a server takes only a
+ * fraction of its keys, which grows while the server warms up, and gets a limited rate of requests.
+ */
 final class SlowStart {
-    /** Of the stated multiple of its capacity: the load that a cold server may get from all routers. */
+    /**
+     * The load that all routers together may put on a cold server, as a fraction of the load at which the server falls
+     * over (its current capacity times the overload factor of the site's rules).
+     */
     private static final double COLD_PART = 0.5;
 
     private final DecisionContext context;
@@ -13,7 +19,14 @@
         this.traffic = traffic;
     }
 
-    /** Guards against pushing over a cold server: it gets the keys it is due, by rating, on a budget. */
+    /**
+     * Whether a server takes a request for a key. Keys are assigned by the server's rating and warm-up, and a cold
+     * server has a token bucket in addition, so that its load stays below the point at which it falls over.
+     *
+     * @param hash the hash by which the key was mapped to the server
+     * @param topRating the highest rating of a ready cache server
+     * @param readyCaches the number of ready cache servers
+     */
     boolean admits(UpstreamServer server, long hash, double topRating, int readyCaches) {
         double warmth = warmth(server);
         double due = warmth * server.member.rating() / topRating;
@@ -29,7 +42,7 @@
         return server.coldBucket.take(rate, rules.fallNanos(), context.now());
     }
 
-    /** The stated warm-up: the part of its work that a starting server is due. */
+    /** Returns the fraction of its capacity that a server has by the warm-up of the site's rules; 1 once it is warm. */
     private double warmth(UpstreamServer server) {
         return context.settings().rules().warmth(server.member.upSinceNanos(), context.now());
     }
--- a/src/main/java/slateseam/decision/UpstreamServer.java
+++ b/src/main/java/slateseam/decision/UpstreamServer.java
@@ -2,21 +2,26 @@
 
 import slateseam.decision.Api.Member;
 
-/** A cache server or the origin: its entry in the member list, and its health as far as this router can tell. */
+/** A cache server or the origin: its entry in the member list and its health as this router sees it. */
 final class UpstreamServer extends Health {
-    /** A weighted row of failures that ejects. */
+    /** The weight of a run of failures from which a server is ejected. */
     static final int FAILURES = 4;
-    /** Requests out before anything is known of a server. */
+    /** The window of a server about which nothing is known yet. */
     static final double START_WINDOW = 8;
-    /** Silence beyond a connection time that may be a pause. */
+    /**
+     * The longest silence, in nanoseconds beyond the connection time-out, that a pause of the server's process may
+     * explain.
+     */
     static final long HICCUP = Timing.SECOND / 2;
-    /** The first ejection, by the shortest aim. */
+    /** The length of a first ejection as a multiple of the shortest aim of the request classes. */
     private static final long EJECTION_AIMS = 2;
 
+    /** The latest entry of the member list. */
     Member member;
-    /** Until when idle connections are closed, since it refused one. */
+
+    /** The time until which idle connections are closed because the server refused a connection. */
     long crowdedUntil;
-    /** What this router may send while the server's cache is cold. */
+    /** Limits the requests of this router while the server's cache is cold. */
     final ColdBucket coldBucket;
 
     private final DecisionContext context;
@@ -28,7 +33,7 @@
         coldBucket = new ColdBucket(context.unitOf(member.id()));
     }
 
-    /** How long a first ejection lasts. */
+    /** Returns the length of a first ejection in nanoseconds. */
     static long firstEjection(DecisionContext context) {
         return EJECTION_AIMS * context.shortestAim();
     }
@@ -45,31 +50,39 @@
         return member.kind() == context.settings().originKind();
     }
 
-    /** Guards against dead members behind a stale list: after an ejection one request tries it. */
+    /**
+     * Whether requests may be sent to the server. As the member list may be stale and list a dead server as ready, a
+     * server whose ejection has ended gets a single trial request first.
+     */
     boolean usable() {
         return ready() && (failures < FAILURES || triable());
     }
 
+    /** Whether this is a listed cache server that gets no requests now. */
     boolean isAvoided() {
         return !isOrigin() && !member.isGone() && !usable();
     }
 
-    /** Whether an ejected server may be tried with one request. */
+    /** Whether an ejected server may get a trial request: its ejection has ended and no attempt is outstanding. */
     boolean triable() {
         return outstanding == 0 && context.now() >= ejectedUntil;
     }
 
-    /** Whether nothing has come back for longer than a connection may take to come up. */
+    /** Whether the server has not responded for longer than the connection time-out. */
     boolean silent() {
         return silentFor(context.now()) > connectTimeout();
     }
 
-    /** Whether it has been silent for longer than a pause of its process explains. */
+    /** Whether the server has not responded for longer than a pause of its process could explain. */
     boolean dead() {
         return silentFor(context.now()) > HICCUP + connectTimeout();
     }
 
-    /** Whether an attempt went out while first connections came up, as far as one can tell. */
+    /**
+     * Whether an attempt that ends now was probably sent while the first connections to the server were being set up.
+     *
+     * @param duration the duration of the attempt in nanoseconds
+     */
     boolean early(long duration) {
         long most = HICCUP + connectTimeout();
         long now = context.now();
--- a/src/test/java/slateseam/decision/ColdBucketTest.java
+++ b/src/test/java/slateseam/decision/ColdBucketTest.java
@@ -9,38 +9,44 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The sum of what all routers send to one cold cache, each by a bucket of its own. */
+/** Checks the sum of the requests that all routers send to one cold cache, where each router has its own bucket. */
 class ColdBucketTest {
     private static final long MS = 1_000_000L;
     private static final long WINDOW = 2_000 * MS;
-    /** Of the caches at full load: requests a second that a cache which has just started bears, and the multiple under which it falls. */
+    /** The requests a second that a cache can bear just after its start, with all caches at full load. */
     private static final double BEARS = 6;
 
+    /** The multiple of that rate at which the cache falls over. */
     private static final double MULTIPLE = 3;
+
     private static final int SEEDS = 300;
 
-    /** When each request that all routers want to send is admitted. */
+    /** The demand of the routers. */
     private interface Demand {
-        /** Whether a router asks at a time. */
+        /** Whether a router with this share of the traffic has a request at a time. */
         boolean asks(SplittableRandom random, long now, double share);
     }
 
-    /** Everybody asks as often as it can from the first moment, after a pause in which all tokens came, or as traffic is. */
+    /** Every router has a request in every step, from the start. */
     private static final Demand AT_ONCE = (random, now, share) -> true;
 
+    /** Every router has a request in every step, after a pause in which all buckets have filled. */
     private static final Demand AFTER_A_PAUSE = (random, now, share) -> now > 9_000 * MS;
+    /** Requests come at random, at the rate that the cache can bear. */
     private static final Demand TRAFFIC = (random, now, share) -> random.nextDouble() < BEARS * share * 0.01;
 
+    /** Returns the requests within one window at which the cache falls over. */
     private static double budget() {
         return MULTIPLE * BEARS * WINDOW / 1e9;
     }
 
+    /** Returns the times of all requests that the buckets of the routers admit in 12 s, with random router restarts. */
     private static List<Long> play(int routers, long seed, Demand demand) {
         SplittableRandom random = new SplittableRandom(seed);
         double[] shares = new double[routers];
         double all = 0;
         for (int i = 0; i < routers; i++) {
-            shares[i] = Math.pow(random.nextDouble(), 2) + 0.1; // some have several times the mean
+            shares[i] = Math.pow(random.nextDouble(), 2) + 0.1; // some routers have several times the mean share
             all += shares[i];
         }
         List<ColdBucket> buckets = new ArrayList<>();
@@ -51,7 +57,7 @@
         for (long now = 0; now < 12_000 * MS; now += 10 * MS) {
             for (int i = 0; i < routers; i++) {
                 if (random.nextDouble() < 0.0005) {
-                    buckets.set(i, new ColdBucket(random.nextDouble())); // it restarts
+                    buckets.set(i, new ColdBucket(random.nextDouble())); // the router restarts
                 }
                 double share = shares[i] / all;
                 double rate = 0.5 * MULTIPLE * BEARS * share;
@@ -63,6 +69,7 @@
         return sent;
     }
 
+    /** Returns the largest number of requests within any window. */
     private static int mostInAWindow(List<Long> sent) {
         int most = 0;
         for (int first = 0, last = 0; last < sent.size(); last++) {
@@ -74,11 +81,12 @@
         return most;
     }
 
+    /** The requests in any window exceed the budget of the cache by no more than random variation. */
     @ParameterizedTest
     @ValueSource(ints = {4, 20, 30, 100})
     void beyondTheBudgetOnlyChanceIsSent(int routers) {
         double most = budget() + 2 * Math.sqrt(budget()) + 2;
-        // A hundred that all stay away and then come together may send one each; ColdBucket says so.
+        // A hundred routers that all pause and then send together may send one request each, as ColdBucket documents.
         List<Demand> demands = routers > 30 ? List.of(AT_ONCE, TRAFFIC) : List.of(AT_ONCE, AFTER_A_PAUSE, TRAFFIC);
         for (Demand demand : demands) {
             List<Integer> windows = new ArrayList<>();
@@ -89,7 +97,10 @@
         }
     }
 
-    /** A cold cache gets most of what it is due from a few routers, and enough of it from many thin ones. */
+    /**
+     * A cold cache gets most of the load that it can bear from a few routers, and a sufficient part from many routers
+     * with little traffic each.
+     */
     @ParameterizedTest
     @ValueSource(ints = {4, 20, 100})
     void theWarmUpIsUsed(int routers) {
--- a/src/test/java/slateseam/decision/JumpHashTest.java
+++ b/src/test/java/slateseam/decision/JumpHashTest.java
@@ -6,6 +6,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
+/** Compares the jump consistent hash with Guava's implementation. */
 class JumpHashTest {
     @Test
     void agreesWithGuava() {
--- a/src/test/java/slateseam/decision/SlicesPlacementTest.java
+++ b/src/test/java/slateseam/decision/SlicesPlacementTest.java
@@ -19,7 +19,7 @@
 import slateseam.router.membership.Slice;
 import slateseam.router.net.Hash;
 
-/** Where keys go while the farm comes from slices. */
+/** Checks on which cache servers keys are placed when the member list comes from endpoint slices. */
 class SlicesPlacementTest {
     private static final int SERVERS = 100;
     private static final int KEYS = 20_000;
@@ -55,6 +55,7 @@
                 Map.of());
     }
 
+    /** Applies the current membership and returns the cache server of each key. */
     private long[] homes() {
         List<Member> members = new ArrayList<>();
         members.add(World.member(World.ORIGIN, MemberState.READY, 0));
@@ -81,7 +82,10 @@
         return IntStream.range(0, KEYS).filter(i -> before[i] != after[i]).count();
     }
 
-    /** All but a few of a large farm drain: none of the few gets what belongs to the others alone. */
+    /**
+     * If all but a few servers of a large farm drain, the keys are spread over all that remain and not over one of
+     * them.
+     */
     @Test
     void theFewThatAreLeftOfManyShareTheKeys() {
         int listed = 1_024;
@@ -104,6 +108,7 @@
                 .isLessThan(KEYS / 3);
     }
 
+    /** Repacking endpoints into other slices moves no keys; removing a server moves only the keys of that server. */
     @Test
     void keysStayWhenSlicesAreRepackedAndOnlyThoseOfAServerThatGoesMove() {
         membership.listed(List.of(slice("a", 0, 50), slice("b", 50, SERVERS)), "12", 0);
--- a/src/test/java/slateseam/decision/StrainTest.java
+++ b/src/test/java/slateseam/decision/StrainTest.java
@@ -13,17 +13,19 @@
 import org.junit.jupiter.api.Test;
 import slateseam.decision.Api.*;
 
-/** What befalls one cache, some, or all twelve at once, under an even load. */
+/** Checks outlier detection when one, several or all of twelve caches fail under a steady load. */
 class StrainTest {
     private static final int CACHES = 12;
 
     /** How an attempt ends, and after how long. */
     private record End(Outcome outcome, long took) {}
 
+    /** Determines how each attempt at a cache ends. */
     private interface Fate {
         End of(int cache);
     }
 
+    /** An outstanding attempt, which ends at {@code due}. */
     private record Out(Send send, int attempt, End end, long due) {}
 
     private static final End WELL = new End(Outcome.OK, 20 * MS);
@@ -41,7 +43,7 @@
         w.fleet(CACHES);
     }
 
-    /** Lets time pass in steps of 10 ms, in each of which so many requests for rare keys come. */
+    /** Advances the time in steps of 10 ms, with {@code requests} requests for keys drawn at random in each step. */
     private void pass(long nanos, int requests) {
         sends = new int[CACHES];
         refused = 0;
@@ -69,6 +71,9 @@
         }
     }
 
+    /**
+     * Schedules the end of each attempt that was sent since the last call, and counts requests that were not served.
+     */
     private void look() {
         for (; seen < w.actions.size(); seen++) {
             if (w.actions.get(seen) instanceof Send s) {
@@ -90,6 +95,7 @@
         seen = w.actions.size();
     }
 
+    /** Returns the caches that attempts were sent to in the last call of {@link #pass}. */
     private Set<Integer> used() {
         Set<Integer> used = new HashSet<>();
         for (int i = 0; i < CACHES; i++) {
@@ -100,6 +106,7 @@
         return used;
     }
 
+    /** A failure common to all caches must not eject any of them beyond the failure itself. */
     @Test
     void whenEveryCacheFailsForAMomentNoneIsLeftAloneAfterwards() {
         for (Outcome outcome : List.of(Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ERROR)) {
@@ -114,6 +121,7 @@
         }
     }
 
+    /** A single failing cache is ejected, gets trial requests only, and gets its full load again once it recovers. */
     @Test
     void oneCacheThatFailsIsLeftAloneAndComesBack() {
         pass(3_000 * MS, 3);
@@ -129,7 +137,10 @@
         assertThat(sends[4]).isGreaterThan(10);
     }
 
-    /** Lost and spoilt answers come from all alike: they must not hide one cache that turns its work away. */
+    /**
+     * Lost answers hit all caches alike. They must not make the failure of one full cache look common and keep it in
+     * use.
+     */
     @Test
     void answersThatAreLostEverywhereDoNotKeepASickCacheInUse() {
         int[] answers = {0};
@@ -142,7 +153,10 @@
         assertThat(sends[4]).as("trials only").isLessThan(8);
     }
 
-    /** Refused at once, or in silence: the five that are left get the work, and the dead nothing but trials. */
+    /**
+     * More than half of the caches die, with connections refused or attempts that time out. The other five get the
+     * load, and the dead caches get trial requests only.
+     */
     @Test
     void sevenOfTwelveThatDieAreLeftAlone() {
         for (End end : List.of(new End(Outcome.CONNECT_FAILED, MS), new End(Outcome.TIMEOUT, 400 * MS))) {
@@ -164,7 +178,7 @@
         }
     }
 
-    /** Handshakes take their time, and caches that are busy with them turn work away: none of that is ill health. */
+    /** At a start, handshakes are slow and busy caches reject requests. Neither may lead to an ejection. */
     @Test
     void atAStartNoCacheIsLeftAloneForWhatItsNewConnectionsDo() {
         for (int struck : new int[] {5, CACHES}) {
@@ -180,6 +194,7 @@
         }
     }
 
+    /** The tolerance for failures at a start ends: a cache that has not answered by then is ejected. */
     @Test
     void oneThatHasNotAnsweredSinceTheStartIsLeftAloneAfterAWhile() {
         fate = cache -> cache == 4 ? new End(Outcome.FULL, 5 * MS) : WELL;
@@ -188,7 +203,7 @@
         assertThat(sends[4]).isLessThan(3);
     }
 
-    /** More at once than the windows hold, before anything has answered: it waits for room and is then served. */
+    /** Requests that exceed the windows before any cache has answered wait for room and are then served. */
     @Test
     void workThatFindsNoRoomAtAStartWaitsForTheFirstAnswers() {
         fate = cache -> new End(Outcome.OK, 100 * MS);
