--- a/src/main/java/slateseam/decision/Cluster.java
+++ b/src/main/java/slateseam/decision/Cluster.java
@@ -17,9 +17,9 @@
     /**
      * The largest fraction of the ready cache servers that may be ejected; if more of them fail, they share a cause.
      */
-    static final double MOST_EJECTED = 0.5;
+    static final double MAX_EJECTED_FRACTION = 0.5;
     /** The number of hashes of a key that are tried before the slots are searched in sequence. */
-    private static final int SALTS = 128;
+    private static final int MAX_HASHES = 128;
 
     /** The odd integer nearest to 2^64 divided by the golden ratio; multiples of it give well-spread salts. */
     private static final long SALT_STEP = 0x9e3779b97f4a7c15L;
@@ -117,7 +117,7 @@
         // A key whose hash gives an empty slot, or a starting server that does not take the key yet, goes on to its
         // next
         // hash. The key thus stays on the server that it had before the slot was filled.
-        for (int salt = 0; salt < SALTS && readyCaches > 0; salt++) {
+        for (int salt = 0; salt < MAX_HASHES && readyCaches > 0; salt++) {
             long hash = salt == 0 ? key : JumpHash.mix(key + salt * SALT_STEP);
             UpstreamServer server = slots.at(hash);
             if (takes(server, hash, not)) {
@@ -148,7 +148,7 @@
     /** Whether most caches have failed within the length of a first ejection. */
     boolean strained() {
         long since = context.now() - UpstreamServer.firstEjection(context);
-        return health.failedPart(since) > MOST_EJECTED;
+        return health.failedPart(since) > MAX_EJECTED_FRACTION;
     }
 
     /**
@@ -156,7 +156,7 @@
      * that requests may wait for it.
      */
     boolean unsettled() {
-        return strained() || health.provenPart(context.now() - UpstreamServer.HICCUP) < MOST_EJECTED;
+        return strained() || health.provenPart(context.now() - UpstreamServer.MAX_PAUSE_NANOS) < MAX_EJECTED_FRACTION;
     }
 
     /**
@@ -165,6 +165,6 @@
      */
     double fairWindow() {
         double out = traffic.arrivals.perSecond() * traffic.answerTime() / Timing.SECOND;
-        return Math.max(1, Math.min(UpstreamServer.START_WINDOW / 2, out / Math.max(1, readyCaches)));
+        return Math.max(1, Math.min(UpstreamServer.INITIAL_WINDOW / 2, out / Math.max(1, readyCaches)));
     }
 }
--- a/src/main/java/slateseam/decision/ColdBucket.java
+++ b/src/main/java/slateseam/decision/ColdBucket.java
@@ -17,9 +17,9 @@
  * routers with little traffic each would hardly use the warm-up (7% of the load that the cache may get).
  */
 final class ColdBucket {
-    private static final double SECOND = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
     /** The capacity of a bucket as a fraction of the tokens issued in one window. */
-    private static final double BURST_PART = 0.25;
+    private static final double CAPACITY_FRACTION = 0.25;
 
     private final double phase;
     private double tokens;
@@ -45,9 +45,9 @@
      * @return whether a token was taken
      */
     boolean take(double perSecond, long windowNanos, long now) {
-        double ofAWindow = perSecond * windowNanos / SECOND;
-        tokens = seen ? tokens + perSecond * (now - seenAt) / SECOND : ofAWindow + phase;
-        tokens = Math.min(tokens, Math.max(1, BURST_PART * ofAWindow));
+        double ofAWindow = perSecond * windowNanos / NANOS_PER_SECOND;
+        tokens = seen ? tokens + perSecond * (now - seenAt) / NANOS_PER_SECOND : ofAWindow + phase;
+        tokens = Math.min(tokens, Math.max(1, CAPACITY_FRACTION * ofAWindow));
         seen = true;
         seenAt = now;
         if (tokens < 1) {
--- a/src/main/java/slateseam/decision/DiscoverySubscription.java
+++ b/src/main/java/slateseam/decision/DiscoverySubscription.java
@@ -8,7 +8,7 @@
     /** The tag of the timer after which discovery is asked for the list. */
     static final int TIMER_TAG = 2;
     /** The largest number of doublings of the delay between two calls that fail in succession. */
-    private static final int MOST_DOUBLINGS = 2;
+    private static final int MAX_DOUBLINGS = 2;
 
     private final DecisionContext context;
     private int failedCalls;
@@ -34,7 +34,7 @@
 
     /** Schedules another request after a failed one, with exponential back-off. */
     void failed() {
-        askWithin(Timing.SECOND << Math.min(failedCalls, MOST_DOUBLINGS));
+        askWithin(Timing.SECOND << Math.min(failedCalls, MAX_DOUBLINGS));
         failedCalls++;
     }
 
--- a/src/main/java/slateseam/decision/FetchTimes.java
+++ b/src/main/java/slateseam/decision/FetchTimes.java
@@ -7,31 +7,31 @@
  */
 final class FetchTimes {
     /** The recent fetch time, as a multiple of the usual one, above which fetches are slow. */
-    private static final double SLOW = 2.5;
+    private static final double SLOW_FACTOR = 2.5;
     /** The recent fetch time, as a multiple of the usual one, below which no queue stands at the origin. */
-    private static final double CALM = 1.5;
+    private static final double CALM_FACTOR = 1.5;
     /** The rise over the usual fetch time, as a fraction of the aim, up to which slow fetches do no harm. */
-    private static final double RISE = 0.15;
+    private static final double MIN_RISE_AIM_FRACTION = 0.15;
 
     /** The fraction of lost fetches above which the origin is overloaded. */
-    private static final double LOST_PART = 0.2;
+    private static final double MAX_LOST_FRACTION = 0.2;
     /** The smallest weight of a fetch in the recent fetch time. */
-    private static final double WEIGHT = 0.1;
+    private static final double RECENT_WEIGHT = 0.1;
     /** The smallest weight with which the usual fetch time follows a recent time that is shorter. */
-    private static final double QUICKER = 0.05;
+    private static final double FALL_WEIGHT = 0.05;
     /**
      * The smallest weight with which the usual fetch time follows a recent time that is longer; small, so that the
      * usual time hardly rises during an overload.
      */
-    private static final double SLOWER = 0.002;
+    private static final double RISE_WEIGHT = 0.002;
     /**
      * The fraction of the excess over the usual fetch time that becomes part of the usual time at a cut of the rate.
      */
-    private static final double KEPT = 0.03;
+    private static final double KEPT_EXCESS_FRACTION = 0.03;
     /** The number of fetches before which nothing counts as slow: fewer do not show the usual time. */
-    private static final int FEW = 10;
+    private static final int MIN_FETCHES = 10;
     /** The number of first fetches whose times are averaged with equal weights. */
-    private static final int ALIKE = 30;
+    private static final int AVERAGED_FETCHES = 30;
 
     private int known;
     private double recent;
@@ -46,13 +46,13 @@
 
     /** Records the time of a fetch that was answered. */
     void took(long nanos) {
-        known = Math.min(ALIKE + 1, known + 1);
-        double alike = known <= ALIKE ? 1.0 / known : 0;
-        recent += Math.max(WEIGHT, alike) * (nanos - recent);
+        known = Math.min(AVERAGED_FETCHES + 1, known + 1);
+        double alike = known <= AVERAGED_FETCHES ? 1.0 / known : 0;
+        recent += Math.max(RECENT_WEIGHT, alike) * (nanos - recent);
         // The first fetches may be quick by chance or because the origin is idle. If the usual time stayed at their
         // times,
         // all later fetches would look like an overload, and the rate R would be cut and not grow again.
-        double pace = Math.max(alike, recent < usual ? QUICKER : SLOWER);
+        double pace = Math.max(alike, recent < usual ? FALL_WEIGHT : RISE_WEIGHT);
         usual += pace * (recent - usual);
     }
 
@@ -62,7 +62,7 @@
      * @param isLost whether the origin rejected the fetch as full or did not answer in time
      */
     void ended(boolean isLost) {
-        lost += LOST_PART / 4 * ((isLost ? 1 : 0) - lost);
+        lost += MAX_LOST_FRACTION / 4 * ((isLost ? 1 : 0) - lost);
     }
 
     /**
@@ -70,18 +70,19 @@
      * aim.
      */
     boolean overloaded(long aim) {
-        boolean slow = known >= FEW && recent > SLOW * usual && recent - usual > RISE * aim;
-        return lost > LOST_PART || slow;
+        boolean slow =
+                known >= MIN_FETCHES && recent > SLOW_FACTOR * usual && recent - usual > MIN_RISE_AIM_FRACTION * aim;
+        return lost > MAX_LOST_FRACTION || slow;
     }
 
     /** Whether no queue has built up at the origin. */
     boolean calm(long aim) {
-        return recent < CALM * usual || recent - usual < RISE / 3 * aim;
+        return recent < CALM_FACTOR * usual || recent - usual < MIN_RISE_AIM_FRACTION / 3 * aim;
     }
 
     /** Discards the signs of overload after the rate was cut for them: only new fetches can show another overload. */
     void forget() {
-        usual += KEPT * (recent - usual);
+        usual += KEPT_EXCESS_FRACTION * (recent - usual);
         recent = usual;
         lost = 0;
     }
--- a/src/main/java/slateseam/decision/KeyCounts.java
+++ b/src/main/java/slateseam/decision/KeyCounts.java
@@ -11,17 +11,17 @@
  */
 final class KeyCounts {
     /** The decayed count of reads below which a key is dropped. */
-    private static final double FORGOTTEN = 0.5;
+    private static final double MIN_READS = 0.5;
     /** The largest number of keys counted at a time; while it is reached, further keys are not counted. */
     static final int MOST_KEYS = 8 * 1024;
     /**
      * The limit in place of the usual one while the table is more than half full: drops keys that were read only once.
      */
-    private static final double FORGOTTEN_EARLY = 1;
+    private static final double MIN_READS_WHEN_CROWDED = 1;
     /**
      * The key under which the reads of all keys are reported. No request has it: 0 stands for a request without a key.
      */
-    private static final long ALL = 0;
+    private static final long ALL_KEYS = 0;
 
     private static final class Count {
         double reads;
@@ -68,7 +68,7 @@
 
     /** Returns the fraction of all reads, at this router and its ring neighbours, that are for the key. */
     double share(long key) {
-        return pooledReads(key) / (total + heardReads(ALL));
+        return pooledReads(key) / (total + heardReads(ALL_KEYS));
     }
 
     /** Returns the fraction of this router's reads of the key that missed. */
@@ -85,7 +85,7 @@
             count.misses *= part;
         });
         // A client that reads only new keys must not fill the table, so that there is room for popular keys.
-        double least = own.size() > MOST_KEYS / 2 ? FORGOTTEN_EARLY : FORGOTTEN;
+        double least = own.size() > MOST_KEYS / 2 ? MIN_READS_WHEN_CROWDED : MIN_READS;
         own.values().removeIf(count -> count.reads < least);
         heard.values().forEach(reads -> reads.replaceAll((key, count) -> count * part));
     }
@@ -111,15 +111,15 @@
         }
         Map<Long, Double> reads = new HashMap<>();
         own.forEach((key, count) -> reads.put(key, count.reads));
-        reads.put(ALL, total);
+        reads.put(ALL_KEYS, total);
         heard.forEach((from, theirs) -> {
             if (from != to) {
                 theirs.forEach((key, count) -> reads.merge(key, passedOn * count, Double::sum));
             }
         });
-        double all = reads.remove(ALL);
+        double all = reads.remove(ALL_KEYS);
         Map<Long, Double> told = new LinkedHashMap<>();
-        told.put(ALL, all);
+        told.put(ALL_KEYS, all);
         Comparator<Map.Entry<Long, Double>> most = Map.Entry.comparingByValue(Comparator.reverseOrder());
         reads.entrySet().stream()
                 .filter(e -> e.getValue() >= 1)
--- a/src/main/java/slateseam/decision/OutlierDetection.java
+++ b/src/main/java/slateseam/decision/OutlierDetection.java
@@ -16,20 +16,20 @@
      * The weight of a time-out, an error or a slow attempt that was cancelled in a server's run of failures. A
      * connection that cannot be set up weighs 1.
      */
-    private static final int LOST_WORK = 2;
+    private static final int LOST_REQUEST_WEIGHT = 2;
     /** The duration, as a fraction of the request class's aim, above which an answer is slow and narrows the window. */
-    private static final double SLOW_ANSWER = 0.6;
+    private static final double SLOW_AIM_FRACTION = 0.6;
 
     /** The factor by which a slow answer or a failure narrows a window. */
-    private static final double WINDOW_CUT = 0.75;
+    private static final double WINDOW_CUT_FACTOR = 0.75;
     /** The floor of a window; a window below 1 spaces single attempts out in time. */
-    private static final double LEAST_WINDOW = 0.1;
+    private static final double MIN_WINDOW = 0.1;
     /** The longest ejection as a multiple of the first; ejections double in length three times. */
-    private static final int MOST_EJECTION = 8;
+    private static final int MAX_EJECTION_FACTOR = 8;
     /** How long idle connections to a server are closed after it refused a connection, in nanoseconds. */
-    private static final long CROWDED = 20 * Timing.SECOND;
+    private static final long CLOSE_IDLE_NANOS = 20 * Timing.SECOND;
     /** The outcomes that the router sets itself, without having received anything from the server. */
-    private static final Set<Outcome> NOTHING_BACK =
+    private static final Set<Outcome> WITHOUT_RESPONSE =
             EnumSet.of(Outcome.CONNECT_FAILED, Outcome.UNSENT, Outcome.MOOT, Outcome.TIMEOUT, Outcome.CANCELLED);
 
     private final DecisionContext context;
@@ -64,7 +64,7 @@
         server.ended();
         Outcome outcome = event.outcome();
         long aim = (job != null ? job.type : context.settings().classes().get(0)).aimNanos();
-        boolean slow = event.durationNanos() > SLOW_ANSWER * aim;
+        boolean slow = event.durationNanos() > SLOW_AIM_FRACTION * aim;
         // Nothing was sent, which says something about this router alone, or about a handshake that is still within the
         // connection time-out.
         if (outcome == Outcome.MOOT || outcome == Outcome.UNSENT && !server.silent()) {
@@ -74,7 +74,7 @@
         if (outcome == Outcome.TIMEOUT && !slow && !server.isOrigin()) {
             return;
         }
-        if (!NOTHING_BACK.contains(outcome)) {
+        if (!WITHOUT_RESPONSE.contains(outcome)) {
             server.cameBack();
         }
         if (outcome.isMishap()) {
@@ -103,7 +103,7 @@
      */
     private void closeIdleOfCrowded(UpstreamServer server, Outcome outcome) {
         if (outcome == Outcome.CONNECT_FAILED) {
-            server.crowdedUntil = context.now() + CROWDED;
+            server.crowdedUntil = context.now() + CLOSE_IDLE_NANOS;
         }
         if (context.now() < server.crowdedUntil && server.outstanding == 0) {
             context.emit(new CloseIdle(server.id()));
@@ -126,7 +126,7 @@
         boolean served = outcome == Outcome.OK || outcome == Outcome.MISS;
         // Trial requests to an ejected cache say something about that cache, and first attempts about their connection,
         // but not about the load. Counting them would make admission control shed load because of a few bad caches.
-        if (server.failures < UpstreamServer.FAILURES && !server.early(duration)) {
+        if (server.failures < UpstreamServer.EJECTION_THRESHOLD && !server.early(duration)) {
             admission.attempted(slow || !served);
         }
         // A cache answers a miss without queueing it, so a miss does not show whether the cache is overloaded.
@@ -153,9 +153,9 @@
         // A cache that reports itself full is ejected at once: further requests of many routers would not let it
         // recover.
         if (outcome == Outcome.FULL || seldom) {
-            return UpstreamServer.FAILURES;
+            return UpstreamServer.EJECTION_THRESHOLD;
         }
-        return notUp ? 1 : LOST_WORK;
+        return notUp ? 1 : LOST_REQUEST_WEIGHT;
     }
 
     private static boolean isNotUp(Outcome outcome) {
@@ -180,8 +180,8 @@
      */
     private void missed(UpstreamServer server) {
         server.prove(context.now());
-        if (server.failures >= UpstreamServer.FAILURES && context.now() >= server.ejectedUntil) {
-            server.failures = Math.min(server.failures - 1, 2 * UpstreamServer.FAILURES);
+        if (server.failures >= UpstreamServer.EJECTION_THRESHOLD && context.now() >= server.ejectedUntil) {
+            server.failures = Math.min(server.failures - 1, 2 * UpstreamServer.EJECTION_THRESHOLD);
         }
     }
 
@@ -209,21 +209,25 @@
         boolean common = cluster.strained();
         if (common) {
             cluster.health.forgive(
-                    now - firstEjection, UpstreamServer.HICCUP, UpstreamServer.FAILURES, cluster.fairWindow(), now);
+                    now - firstEjection,
+                    UpstreamServer.MAX_PAUSE_NANOS,
+                    UpstreamServer.EJECTION_THRESHOLD,
+                    cluster.fairWindow(),
+                    now);
         }
         server.failures += weight;
         // No attempts are sent during an ejection, so failures that arrive now belong to attempts from before it and
         // must
         // not extend it.
-        if (server.failures < UpstreamServer.FAILURES || now < server.ejectedUntil) {
+        if (server.failures < UpstreamServer.EJECTION_THRESHOLD || now < server.ejectedUntil) {
             return;
         }
-        boolean tooMany = cluster.health.ejectedPart(UpstreamServer.FAILURES) > Cluster.MOST_EJECTED;
+        boolean tooMany = cluster.health.ejectedPart(UpstreamServer.EJECTION_THRESHOLD) > Cluster.MAX_EJECTED_FRACTION;
         if ((common || tooMany) && !server.dead()) {
-            server.failures = UpstreamServer.FAILURES - 1;
+            server.failures = UpstreamServer.EJECTION_THRESHOLD - 1;
             return;
         }
-        long longest = MOST_EJECTION * firstEjection;
+        long longest = MAX_EJECTION_FACTOR * firstEjection;
         server.eject((long) Math.max(server.ejection, Math.min(twoRequests(), longest)), now);
         if (!common) {
             server.ejection = Math.min(2 * server.ejection, longest);
@@ -242,6 +246,6 @@
     /** Narrows a server's window; while most caches fail together, not below what an even share of the load needs. */
     private void shrink(UpstreamServer server, long duration) {
         boolean common = !server.isOrigin() && cluster.strained();
-        server.shrink(duration, WINDOW_CUT, common ? cluster.fairWindow() : LEAST_WINDOW, context.now());
+        server.shrink(duration, WINDOW_CUT_FACTOR, common ? cluster.fairWindow() : MIN_WINDOW, context.now());
     }
 }
--- a/src/main/java/slateseam/decision/SlotTable.java
+++ b/src/main/java/slateseam/decision/SlotTable.java
@@ -8,17 +8,17 @@
  * not on its history, so routers with the same list have the same table whenever they started.
  */
 final class SlotTable {
-    private static final int LEAST_SLOTS = 128;
+    private static final int MIN_SLOTS = 128;
     /**
      * The slots for each server, before their number is rounded down to a power of two: each server has at least four.
      */
-    private static final int SLOTS_A_SERVER = 8;
+    private static final int SLOTS_PER_SERVER = 8;
 
-    private UpstreamServer[] slots = new UpstreamServer[LEAST_SLOTS];
+    private UpstreamServer[] slots = new UpstreamServer[MIN_SLOTS];
 
     /** Assigns slots to a list of servers, which replaces the previous list. */
     void place(List<UpstreamServer> caches) {
-        slots = new UpstreamServer[Math.max(LEAST_SLOTS, SLOTS_A_SERVER * Integer.highestOneBit(caches.size()))];
+        slots = new UpstreamServer[Math.max(MIN_SLOTS, SLOTS_PER_SERVER * Integer.highestOneBit(caches.size()))];
         for (UpstreamServer server : caches) {
             long hash = JumpHash.mix(server.id());
             while (at(hash) != null) {
--- a/src/main/java/slateseam/decision/SlowStart.java
+++ b/src/main/java/slateseam/decision/SlowStart.java
@@ -9,7 +9,7 @@
      * The load that all routers together may put on a cold server, as a fraction of the load at which the server falls
      * over (its current capacity times the overload factor of the site's rules).
      */
-    private static final double COLD_PART = 0.5;
+    private static final double COLD_LOAD_FRACTION = 0.5;
 
     private final DecisionContext context;
     private final TrafficStats traffic;
@@ -37,8 +37,11 @@
             return true;
         }
         var rules = context.settings().rules();
-        double rate =
-                traffic.arrivals.perSecond() * warmth * COLD_PART * rules.overloadFactor() / Math.max(1, readyCaches);
+        double rate = traffic.arrivals.perSecond()
+                * warmth
+                * COLD_LOAD_FRACTION
+                * rules.overloadFactor()
+                / Math.max(1, readyCaches);
         return server.coldBucket.take(rate, rules.fallNanos(), context.now());
     }
 
--- a/src/main/java/slateseam/decision/UpstreamServer.java
+++ b/src/main/java/slateseam/decision/UpstreamServer.java
@@ -5,16 +5,16 @@
 /** A cache server or the origin: its entry in the member list and its health as this router sees it. */
 final class UpstreamServer extends Health {
     /** The weight of a run of failures from which a server is ejected. */
-    static final int FAILURES = 4;
+    static final int EJECTION_THRESHOLD = 4;
     /** The window of a server about which nothing is known yet. */
-    static final double START_WINDOW = 8;
+    static final double INITIAL_WINDOW = 8;
     /**
      * The longest silence, in nanoseconds beyond the connection time-out, that a pause of the server's process may
      * explain.
      */
-    static final long HICCUP = Timing.SECOND / 2;
+    static final long MAX_PAUSE_NANOS = Timing.SECOND / 2;
     /** The length of a first ejection as a multiple of the shortest aim of the request classes. */
-    private static final long EJECTION_AIMS = 2;
+    private static final long FIRST_EJECTION_AIMS = 2;
 
     /** The latest entry of the member list. */
     Member member;
@@ -27,7 +27,7 @@
     private final DecisionContext context;
 
     UpstreamServer(Member member, DecisionContext context) {
-        super(START_WINDOW, firstEjection(context));
+        super(INITIAL_WINDOW, firstEjection(context));
         this.member = member;
         this.context = context;
         coldBucket = new ColdBucket(context.unitOf(member.id()));
@@ -35,7 +35,7 @@
 
     /** Returns the length of a first ejection in nanoseconds. */
     static long firstEjection(DecisionContext context) {
-        return EJECTION_AIMS * context.shortestAim();
+        return FIRST_EJECTION_AIMS * context.shortestAim();
     }
 
     long id() {
@@ -55,7 +55,7 @@
      * server whose ejection has ended gets a single trial request first.
      */
     boolean usable() {
-        return ready() && (failures < FAILURES || triable());
+        return ready() && (failures < EJECTION_THRESHOLD || triable());
     }
 
     /** Whether this is a listed cache server that gets no requests now. */
@@ -75,7 +75,7 @@
 
     /** Whether the server has not responded for longer than a pause of its process could explain. */
     boolean dead() {
-        return silentFor(context.now()) > HICCUP + connectTimeout();
+        return silentFor(context.now()) > MAX_PAUSE_NANOS + connectTimeout();
     }
 
     /**
@@ -84,7 +84,7 @@
      * @param duration the duration of the attempt in nanoseconds
      */
     boolean early(long duration) {
-        long most = HICCUP + connectTimeout();
+        long most = MAX_PAUSE_NANOS + connectTimeout();
         long now = context.now();
         return provenAt == 0 ? now - firstSentAt <= most : now - duration < provenAt;
     }
