--- a/src/main/java/slateseam/decision/Cluster.java
+++ b/src/main/java/slateseam/decision/Cluster.java
@@ -32,7 +32,7 @@
     private final TrafficStats traffic;
     private final SlowStart slowStart;
     private UpstreamServer origin;
-    private double topRating = 1;
+    private double maxRating = 1;
     private int readyCaches;
 
     Cluster(DecisionContext context, TrafficStats traffic) {
@@ -67,7 +67,7 @@
         event.members().forEach(this::update);
         boolean aside = context.settings().mode() == CacheMode.ASIDE;
         origin = servers.values().stream()
-                .filter(server -> aside && server.isOrigin() && server.ready())
+                .filter(server -> aside && server.isOrigin() && server.isReady())
                 .findFirst()
                 .orElse(null);
         // Without this the map would grow with each member that is replaced.
@@ -75,13 +75,13 @@
         List<UpstreamServer> caches = servers.values().stream()
                 .filter(server -> !server.isOrigin() && !server.member.isGone())
                 .toList();
-        slots.place(caches);
+        slots.assign(caches);
         List<UpstreamServer> ready =
-                caches.stream().filter(UpstreamServer::ready).toList();
+                caches.stream().filter(UpstreamServer::isReady).toList();
         readyCaches = ready.size();
-        health.ready(ready);
-        topRating = caches.stream()
-                .mapToDouble(server -> server.ready() ? server.member.rating() : 0)
+        health.setReady(ready);
+        maxRating = caches.stream()
+                .mapToDouble(server -> server.isReady() ? server.member.rating() : 0)
                 .max()
                 .orElse(1);
     }
@@ -110,45 +110,45 @@
     /**
      * Returns the cache server that a key is placed on by jump consistent hashing.
      *
-     * @param not a server that must not be returned; null for no exception
+     * @param excluded a server that must not be returned; null for no exception
      * @return the cache server; null if no cache server can take the key
      */
-    UpstreamServer home(long key, UpstreamServer not) {
+    UpstreamServer home(long key, UpstreamServer excluded) {
         // A key whose hash gives an empty slot, or a starting server that does not take the key yet, goes on to its
         // next
         // hash. The key thus stays on the server that it had before the slot was filled.
         for (int salt = 0; salt < MAX_HASHES && readyCaches > 0; salt++) {
             long hash = salt == 0 ? key : JumpHash.mix(key + salt * SALT_STEP);
-            UpstreamServer server = slots.at(hash);
-            if (takes(server, hash, not)) {
+            UpstreamServer server = slots.serverFor(hash);
+            if (accepts(server, hash, excluded)) {
                 return server;
             }
         }
         // If few of many servers are left, all hashes may miss them. Then the next usable server behind the key's own
         // slot
         // takes the key.
-        int own = slots.slotOf(key);
+        int firstSlot = slots.slotOf(key);
         for (int step = 0; step < slots.size(); step++) {
-            UpstreamServer server = slots.behind(own, step);
-            if (takes(server, key, not)) {
+            UpstreamServer server = slots.serverAfter(firstSlot, step);
+            if (accepts(server, key, excluded)) {
                 return server;
             }
         }
         return null;
     }
 
-    /** Whether a slot holds a usable server, other than {@code not}, that takes a key with this hash. */
-    private boolean takes(UpstreamServer server, long hash, UpstreamServer not) {
+    /** Whether a slot holds a usable server, other than {@code excluded}, that takes a key with this hash. */
+    private boolean accepts(UpstreamServer server, long hash, UpstreamServer excluded) {
         return server != null
-                && server != not
-                && server.usable()
-                && slowStart.admits(server, hash, topRating, readyCaches);
+                && server != excluded
+                && server.isUsable()
+                && slowStart.admits(server, hash, maxRating, readyCaches);
     }
 
     /** Whether most caches have failed within the length of a first ejection. */
-    boolean strained() {
-        long since = context.now() - UpstreamServer.firstEjection(context);
-        return health.failedPart(since) > MAX_EJECTED_FRACTION;
+    boolean mostCachesFail() {
+        long since = context.now() - UpstreamServer.firstEjectionNanos(context);
+        return health.failedFraction(since) > MAX_EJECTED_FRACTION;
     }
 
     /**
@@ -156,7 +156,8 @@
      * that requests may wait for it.
      */
     boolean unsettled() {
-        return strained() || health.provenPart(context.now() - UpstreamServer.MAX_PAUSE_NANOS) < MAX_EJECTED_FRACTION;
+        return mostCachesFail()
+                || health.answeredFraction(context.now() - UpstreamServer.MAX_PAUSE_NANOS) < MAX_EJECTED_FRACTION;
     }
 
     /**
@@ -164,7 +165,7 @@
      * evenly over the ready caches; at least 1.
      */
     double fairWindow() {
-        double out = traffic.arrivals.perSecond() * traffic.answerTime() / Timing.SECOND;
-        return Math.max(1, Math.min(UpstreamServer.INITIAL_WINDOW / 2, out / Math.max(1, readyCaches)));
+        double concurrency = traffic.arrivals.perSecond() * traffic.answerTime() / Timing.SECOND;
+        return Math.max(1, Math.min(UpstreamServer.INITIAL_WINDOW / 2, concurrency / Math.max(1, readyCaches)));
     }
 }
--- a/src/main/java/slateseam/decision/ColdBucket.java
+++ b/src/main/java/slateseam/decision/ColdBucket.java
@@ -21,19 +21,18 @@
     /** The capacity of a bucket as a fraction of the tokens issued in one window. */
     private static final double CAPACITY_FRACTION = 0.25;
 
-    private final double phase;
+    private final double initialFraction;
     private double tokens;
-    private long seenAt;
-    private boolean seen;
+    private long lastTakeAt;
+    private boolean filled;
 
     /**
      * Creates a bucket.
      *
-     * @param phase the fraction of a token, from 0 to 1, that is added to the first fill; drawn independently by each
-     * router
+     * @param initialFraction the fraction of a token, from 0 to 1, added to the first fill; each router draws its own
      */
-    ColdBucket(double phase) {
-        this.phase = phase;
+    ColdBucket(double initialFraction) {
+        this.initialFraction = initialFraction;
     }
 
     /**
@@ -45,11 +44,11 @@
      * @return whether a token was taken
      */
     boolean take(double perSecond, long windowNanos, long now) {
-        double ofAWindow = perSecond * windowNanos / NANOS_PER_SECOND;
-        tokens = seen ? tokens + perSecond * (now - seenAt) / NANOS_PER_SECOND : ofAWindow + phase;
-        tokens = Math.min(tokens, Math.max(1, CAPACITY_FRACTION * ofAWindow));
-        seen = true;
-        seenAt = now;
+        double windowTokens = perSecond * windowNanos / NANOS_PER_SECOND;
+        tokens = filled ? tokens + perSecond * (now - lastTakeAt) / NANOS_PER_SECOND : windowTokens + initialFraction;
+        tokens = Math.min(tokens, Math.max(1, CAPACITY_FRACTION * windowTokens));
+        filled = true;
+        lastTakeAt = now;
         if (tokens < 1) {
             return false;
         }
--- a/src/main/java/slateseam/decision/DiscoverySubscription.java
+++ b/src/main/java/slateseam/decision/DiscoverySubscription.java
@@ -23,7 +23,7 @@
      */
     void start() {
         if (context.settings().askedDiscovery()) {
-            askWithin(Math.min(Timing.SECOND, context.settings().routers() * Timing.TICK));
+            subscribeWithin(Math.min(Timing.SECOND, context.settings().routers() * Timing.TICK));
         }
     }
 
@@ -34,7 +34,7 @@
 
     /** Schedules another request after a failed one, with exponential back-off. */
     void failed() {
-        askWithin(Timing.SECOND << Math.min(failedCalls, MAX_DOUBLINGS));
+        subscribeWithin(Timing.SECOND << Math.min(failedCalls, MAX_DOUBLINGS));
         failedCalls++;
     }
 
@@ -44,7 +44,7 @@
     }
 
     /** Sets the timer to a random delay of at most so many nanoseconds. */
-    private void askWithin(long nanos) {
-        context.emit(new SetTimer(TIMER_TAG, 1 + context.random.nextLong(nanos)));
+    private void subscribeWithin(long maxDelayNanos) {
+        context.emit(new SetTimer(TIMER_TAG, 1 + context.random.nextLong(maxDelayNanos)));
     }
 }
--- a/src/main/java/slateseam/decision/FarmHealth.java
+++ b/src/main/java/slateseam/decision/FarmHealth.java
@@ -10,14 +10,14 @@
     private List<? extends Health> caches = List.of();
 
     /** Sets the caches that are ready now. */
-    void ready(List<? extends Health> ready) {
+    void setReady(List<? extends Health> ready) {
         caches = ready;
     }
 
     /** Returns the fraction of the ready caches that have failed since a time; 0 if there are no ready caches. */
-    double failedPart(long since) {
-        return part(caches.stream()
-                .filter(h -> h.failedAt != 0 && h.failedAt >= since)
+    double failedFraction(long since) {
+        return fraction(caches.stream()
+                .filter(server -> server.lastFailureAt != 0 && server.lastFailureAt >= since)
                 .count());
     }
 
@@ -25,14 +25,16 @@
      * Returns the fraction of the ready caches whose run of failures has reached a limit: each of these is ejected, or
      * gets a trial request before any others.
      */
-    double ejectedPart(int failures) {
-        return part(caches.stream().filter(h -> h.failures >= failures).count());
+    double ejectedFraction(int threshold) {
+        return fraction(caches.stream()
+                .filter(server -> server.failureScore >= threshold)
+                .count());
     }
 
     /** Returns the fraction of the ready caches whose first answer since their last start came before a time. */
-    double provenPart(long before) {
-        return part(caches.stream()
-                .filter(h -> h.provenAt != 0 && h.provenAt < before)
+    double answeredFraction(long before) {
+        return fraction(caches.stream()
+                .filter(server -> server.firstAnswerAt != 0 && server.firstAnswerAt < before)
                 .count());
     }
 
@@ -41,23 +43,25 @@
      * the same reason as the others. Also widens the windows of the caches that failed recently.
      *
      * @param since the time from which on ejections and failures are recent
-     * @param silence the longest silence, in nanoseconds, of a cache whose ejection is revoked
-     * @param failures the run of failures that ejects; a readmitted cache is left one short of it
-     * @param window the smallest window that a cache which failed recently is left with
+     * @param maxSilence the longest silence, in nanoseconds, of a cache whose ejection is revoked
+     * @param threshold the run of failures that ejects; a readmitted cache is left one short of it
+     * @param minWindow the smallest window that a cache which failed recently is left with
      */
-    void forgive(long since, long silence, int failures, double window, long now) {
-        for (Health h : caches) {
-            if (h.failures >= failures && h.ejectedAt >= since && h.silentFor(now) <= silence) {
-                h.failures = failures - 1;
-                h.ejectedUntil = now;
+    void revokeEjections(long since, long maxSilence, int threshold, double minWindow, long now) {
+        for (Health server : caches) {
+            if (server.failureScore >= threshold
+                    && server.ejectedAt >= since
+                    && server.silenceNanos(now) <= maxSilence) {
+                server.failureScore = threshold - 1;
+                server.ejectedUntil = now;
             }
-            if (h.failedAt >= since) {
-                h.window = Math.max(h.window, window);
+            if (server.lastFailureAt >= since) {
+                server.window = Math.max(server.window, minWindow);
             }
         }
     }
 
-    private double part(long count) {
+    private double fraction(long count) {
         return caches.isEmpty() ? 0 : (double) count / caches.size();
     }
 }
--- a/src/main/java/slateseam/decision/FetchTimes.java
+++ b/src/main/java/slateseam/decision/FetchTimes.java
@@ -33,11 +33,11 @@
     /** The number of first fetches whose times are averaged with equal weights. */
     private static final int AVERAGED_FETCHES = 30;
 
-    private int known;
+    private int fetches;
     private double recent;
     private double usual;
     /** The smoothed fraction of lost fetches. */
-    private double lost;
+    private double lostFraction;
 
     /** Returns the smoothed time of recent fetches; 0 before the first. */
     double recent() {
@@ -46,14 +46,14 @@
 
     /** Records the time of a fetch that was answered. */
     void took(long nanos) {
-        known = Math.min(AVERAGED_FETCHES + 1, known + 1);
-        double alike = known <= AVERAGED_FETCHES ? 1.0 / known : 0;
-        recent += Math.max(RECENT_WEIGHT, alike) * (nanos - recent);
+        fetches = Math.min(AVERAGED_FETCHES + 1, fetches + 1);
+        double averagingWeight = fetches <= AVERAGED_FETCHES ? 1.0 / fetches : 0;
+        recent += Math.max(RECENT_WEIGHT, averagingWeight) * (nanos - recent);
         // The first fetches may be quick by chance or because the origin is idle. If the usual time stayed at their
         // times,
         // all later fetches would look like an overload, and the rate R would be cut and not grow again.
-        double pace = Math.max(alike, recent < usual ? FALL_WEIGHT : RISE_WEIGHT);
-        usual += pace * (recent - usual);
+        double weight = Math.max(averagingWeight, recent < usual ? FALL_WEIGHT : RISE_WEIGHT);
+        usual += weight * (recent - usual);
     }
 
     /**
@@ -62,7 +62,7 @@
      * @param isLost whether the origin rejected the fetch as full or did not answer in time
      */
     void ended(boolean isLost) {
-        lost += MAX_LOST_FRACTION / 4 * ((isLost ? 1 : 0) - lost);
+        lostFraction += MAX_LOST_FRACTION / 4 * ((isLost ? 1 : 0) - lostFraction);
     }
 
     /**
@@ -71,8 +71,8 @@
      */
     boolean overloaded(long aim) {
         boolean slow =
-                known >= MIN_FETCHES && recent > SLOW_FACTOR * usual && recent - usual > MIN_RISE_AIM_FRACTION * aim;
-        return lost > MAX_LOST_FRACTION || slow;
+                fetches >= MIN_FETCHES && recent > SLOW_FACTOR * usual && recent - usual > MIN_RISE_AIM_FRACTION * aim;
+        return lostFraction > MAX_LOST_FRACTION || slow;
     }
 
     /** Whether no queue has built up at the origin. */
@@ -84,6 +84,6 @@
     void forget() {
         usual += KEPT_EXCESS_FRACTION * (recent - usual);
         recent = usual;
-        lost = 0;
+        lostFraction = 0;
     }
 }
--- a/src/main/java/slateseam/decision/Health.java
+++ b/src/main/java/slateseam/decision/Health.java
@@ -2,12 +2,12 @@
 
 /**
  * The health of a server as one router sees it: the outstanding attempts, the recent failures and the concurrency
- * window, which limits how many attempts may be outstanding. This class keeps the counts and times; {@link
- * OutlierDetection} decides on ejections. Times are in nanoseconds of the module's clock; 0 stands for never.
+ * window, which limits how many attempts may be outstanding. This class keeps the counts and times;
+ * {@link OutlierDetection} decides on ejections. Times are in nanoseconds of the module's clock; 0 stands for never.
  */
 class Health {
     /** The sum of the weights of the failures since the last answer. */
-    int failures;
+    int failureScore;
     /** The number of attempts that have been sent and have not ended. */
     int outstanding;
     /**
@@ -16,12 +16,12 @@
      */
     double window;
     /** The time of the server's first answer to this router since the server last started. */
-    long provenAt;
+    long firstAnswerAt;
     /** The time at which the first attempt was sent since the server last started. */
     long firstSentAt;
 
     /** The time of the last failure; lost connections and unreadable answers do not count. */
-    long failedAt;
+    long lastFailureAt;
 
     /** The time at which the last ejection began. */
     long ejectedAt;
@@ -29,25 +29,25 @@
     long ejectedUntil;
 
     /** The length of the next ejection in nanoseconds. */
-    long ejection;
+    long nextEjectionNanos;
     /** The time of the first attempt sent since the last response of any kind; 0 if none has been sent since. */
     private long unansweredSince;
 
     /** The time at which the last attempt was sent. */
-    private long sentAt;
+    private long lastSentAt;
 
     /** The time at which the window was last narrowed. */
-    private long shrunkAt;
+    private long lastNarrowedAt;
 
-    Health(double window, long ejection) {
+    Health(double window, long firstEjectionNanos) {
         this.window = window;
-        this.ejection = ejection;
+        nextEjectionNanos = firstEjectionNanos;
     }
 
     /** Records that an attempt is sent. */
     void sent(long now) {
         outstanding++;
-        sentAt = now;
+        lastSentAt = now;
         if (firstSentAt == 0) {
             firstSentAt = now;
         }
@@ -57,39 +57,39 @@
     }
 
     /** Records that an attempt has ended, with whatever outcome. */
-    void ended() {
+    void attemptEnded() {
         outstanding = Math.max(0, outstanding - 1);
     }
 
     /** Records an answer of the server: a hit or a miss. */
-    void prove(long now) {
-        provenAt = provenAt == 0 ? now : provenAt;
+    void recordAnswer(long now) {
+        firstAnswerAt = firstAnswerAt == 0 ? now : firstAnswerAt;
     }
 
     /** Records that the server responded to an attempt in some way, be it with an error. */
-    void cameBack() {
+    void recordResponse() {
         unansweredSince = 0;
     }
 
     /** Returns how long the server has sent no response although attempts were sent to it, in nanoseconds; else 0. */
-    long silentFor(long now) {
+    long silenceNanos(long now) {
         return unansweredSince == 0 ? 0 : now - unansweredSince;
     }
 
     /**
      * Whether the window permits another attempt.
      *
-     * @param part the fraction of the window that may be used
+     * @param fraction the fraction of the window that may be used
      * @param answerTime the usual answer time in nanoseconds
      */
-    boolean hasRoom(double part, double answerTime, long now) {
+    boolean hasRoom(double fraction, double answerTime, long now) {
         // A cache that is slow under overload stays slow until it has had some time without load, hence windows below
         // 1.
-        return outstanding < Math.max(1, window * part) && (window >= 1 || now - sentAt >= answerTime / window);
+        return outstanding < Math.max(1, window * fraction) && (window >= 1 || now - lastSentAt >= answerTime / window);
     }
 
     /** Widens the window by one for each window of answers, as long as at least half of the window is used. */
-    void grow() {
+    void widenWindow() {
         if (outstanding + 1 >= window / 2) {
             window += 1 / Math.max(1, window);
         }
@@ -100,15 +100,15 @@
      * time.
      *
      * @param duration the duration in nanoseconds of the attempt that gives rise to this
-     * @param part the factor by which the window is narrowed
-     * @param least the floor of the window
+     * @param fraction the factor by which the window is narrowed
+     * @param floor the floor of the window
      */
-    void shrink(long duration, double part, double least, long now) {
-        if (now - duration < shrunkAt) {
+    void narrowWindow(long duration, double fraction, double floor, long now) {
+        if (now - duration < lastNarrowedAt) {
             return;
         }
-        shrunkAt = now;
-        window = Math.max(Math.min(window, least), Math.min(window, outstanding + 1) * part);
+        lastNarrowedAt = now;
+        window = Math.max(Math.min(window, floor), Math.min(window, outstanding + 1) * fraction);
     }
 
     /** Ejects the server for a time: no attempts are sent to an ejected server. */
@@ -119,8 +119,8 @@
 
     /** Clears the record of the previous process after the server has restarted. */
     void restarted() {
-        failures = 0;
-        provenAt = 0;
+        failureScore = 0;
+        firstAnswerAt = 0;
         firstSentAt = 0;
         unansweredSince = 0;
     }
--- a/src/main/java/slateseam/decision/HotKeys.java
+++ b/src/main/java/slateseam/decision/HotKeys.java
@@ -32,10 +32,10 @@
         if (fairShares < HOT_SHARE || counts.pooledReads(key) < MIN_POPULAR_READS) {
             return key;
         }
-        double kept = Math.max(0, 1 - counts.missedPart(key) / MAX_MISS_FRACTION);
-        int copies = 1 + (int) Math.min(kept * fairShares / HOT_SHARE, readyCaches - 1);
-        int copy = context.random.nextInt(copies);
-        return copy == 0 ? key : JumpHash.mix(key + copy);
+        double benefit = Math.max(0, 1 - counts.missFraction(key) / MAX_MISS_FRACTION);
+        int replicas = 1 + (int) Math.min(benefit * fairShares / HOT_SHARE, readyCaches - 1);
+        int replica = context.random.nextInt(replicas);
+        return replica == 0 ? key : JumpHash.mix(key + replica);
     }
 
     /** Whether the key is read so often that its popularity alone may make its answers slow. */
--- a/src/main/java/slateseam/decision/KeyCounts.java
+++ b/src/main/java/slateseam/decision/KeyCounts.java
@@ -31,7 +31,7 @@
     /** The counts of this router by key. */
     private final Map<Long, Count> own = new HashMap<>();
     /** The read counts last reported by each ring neighbour: by router number, then by key. */
-    private final Map<Integer, Map<Long, Double>> heard = new LinkedHashMap<>();
+    private final Map<Integer, Map<Long, Double>> readsByNeighbour = new LinkedHashMap<>();
     /** The decayed number of all reads at this router; starts at 1 because shares are divided by it. */
     private double total = 1;
 
@@ -63,37 +63,37 @@
 
     /** Returns the decayed number of reads of the key at this router and, as reported, at its ring neighbours. */
     double pooledReads(long key) {
-        return reads(key) + heardReads(key);
+        return reads(key) + neighbourReads(key);
     }
 
     /** Returns the fraction of all reads, at this router and its ring neighbours, that are for the key. */
     double share(long key) {
-        return pooledReads(key) / (total + heardReads(ALL_KEYS));
+        return pooledReads(key) / (total + neighbourReads(ALL_KEYS));
     }
 
     /** Returns the fraction of this router's reads of the key that missed. */
-    double missedPart(long key) {
+    double missFraction(long key) {
         Count count = own.get(key);
         return count == null ? 0 : count.misses / count.reads;
     }
 
     /** Multiplies every count by a factor below 1 and drops the keys that have become rare. */
-    void fade(double part) {
-        total = 1 + total * part;
+    void fade(double factor) {
+        total = 1 + total * factor;
         own.values().forEach(count -> {
-            count.reads *= part;
-            count.misses *= part;
+            count.reads *= factor;
+            count.misses *= factor;
         });
         // A client that reads only new keys must not fill the table, so that there is room for popular keys.
-        double least = own.size() > MOST_KEYS / 2 ? MIN_READS_WHEN_CROWDED : MIN_READS;
-        own.values().removeIf(count -> count.reads < least);
-        heard.values().forEach(reads -> reads.replaceAll((key, count) -> count * part));
+        double minReads = own.size() > MOST_KEYS / 2 ? MIN_READS_WHEN_CROWDED : MIN_READS;
+        own.values().removeIf(count -> count.reads < minReads);
+        readsByNeighbour.values().forEach(reads -> reads.replaceAll((key, count) -> count * factor));
     }
 
     /** Replaces the counts of a ring neighbour. An empty map, from a message without room for keys, changes nothing. */
     void hear(int from, Map<Long, Double> reads) {
         if (!reads.isEmpty()) {
-            heard.put(from, new HashMap<>(reads));
+            readsByNeighbour.put(from, new HashMap<>(reads));
         }
     }
 
@@ -103,37 +103,37 @@
      *
      * @param to the router to report to; its own counts are left out
      * @param entries the largest number of entries
-     * @param passedOn the factor for the counts of the other neighbour
+     * @param relayFactor the factor for the counts of the other neighbour
      */
-    Map<Long, Double> tell(int to, int entries, double passedOn) {
+    Map<Long, Double> tell(int to, int entries, double relayFactor) {
         if (entries <= 0) {
             return Map.of();
         }
         Map<Long, Double> reads = new HashMap<>();
         own.forEach((key, count) -> reads.put(key, count.reads));
         reads.put(ALL_KEYS, total);
-        heard.forEach((from, theirs) -> {
+        readsByNeighbour.forEach((from, counts) -> {
             if (from != to) {
-                theirs.forEach((key, count) -> reads.merge(key, passedOn * count, Double::sum));
+                counts.forEach((key, count) -> reads.merge(key, relayFactor * count, Double::sum));
             }
         });
         double all = reads.remove(ALL_KEYS);
-        Map<Long, Double> told = new LinkedHashMap<>();
-        told.put(ALL_KEYS, all);
-        Comparator<Map.Entry<Long, Double>> most = Map.Entry.comparingByValue(Comparator.reverseOrder());
+        Map<Long, Double> reported = new LinkedHashMap<>();
+        reported.put(ALL_KEYS, all);
+        Comparator<Map.Entry<Long, Double>> byReads = Map.Entry.comparingByValue(Comparator.reverseOrder());
         reads.entrySet().stream()
                 .filter(e -> e.getValue() >= 1)
-                .sorted(most.thenComparing(Map.Entry::getKey))
+                .sorted(byReads.thenComparing(Map.Entry::getKey))
                 .limit(entries - 1)
-                .forEach(e -> told.put(e.getKey(), e.getValue()));
-        return told;
+                .forEach(e -> reported.put(e.getKey(), e.getValue()));
+        return reported;
     }
 
     /** Returns the reads of the key that the ring neighbours have reported. */
-    private double heardReads(long key) {
+    private double neighbourReads(long key) {
         double reads = 0;
-        for (Map<Long, Double> theirs : heard.values()) {
-            reads += theirs.getOrDefault(key, 0.0);
+        for (Map<Long, Double> counts : readsByNeighbour.values()) {
+            reads += counts.getOrDefault(key, 0.0);
         }
         return reads;
     }
--- a/src/main/java/slateseam/decision/OutlierDetection.java
+++ b/src/main/java/slateseam/decision/OutlierDetection.java
@@ -61,13 +61,13 @@
      * @param job the request of the attempt; null if the request already has its final answer
      */
     void attemptEnded(UpstreamServer server, AttemptEnded event, Job job) {
-        server.ended();
+        server.attemptEnded();
         Outcome outcome = event.outcome();
         long aim = (job != null ? job.type : context.settings().classes().get(0)).aimNanos();
         boolean slow = event.durationNanos() > SLOW_AIM_FRACTION * aim;
         // Nothing was sent, which says something about this router alone, or about a handshake that is still within the
         // connection time-out.
-        if (outcome == Outcome.MOOT || outcome == Outcome.UNSENT && !server.silent()) {
+        if (outcome == Outcome.MOOT || outcome == Outcome.UNSENT && !server.isSilent()) {
             return;
         }
         // An attempt with little time left from its start says something about the request, not about the server.
@@ -75,7 +75,7 @@
             return;
         }
         if (!WITHOUT_RESPONSE.contains(outcome)) {
-            server.cameBack();
+            server.recordResponse();
         }
         if (outcome.isMishap()) {
             // Lost connections and unreadable answers hit all servers alike and say nothing about their load. They
@@ -84,11 +84,11 @@
             // cache
             // server is ejected only after a run of them without an answer in between.
             if (!server.isOrigin()) {
-                fail(server, 1);
+                addFailure(server, 1);
             }
             return;
         }
-        closeIdleOfCrowded(server, outcome);
+        closeIdleConnections(server, outcome);
         if (server.isOrigin()) {
             originAttemptEnded(server, event, aim, job == null);
         } else {
@@ -101,22 +101,22 @@
      * routers do not use up its connection limit. Idle connections to other servers stay open: a process that crashed
      * refuses connections too, and closing them everywhere would cost each request a handshake.
      */
-    private void closeIdleOfCrowded(UpstreamServer server, Outcome outcome) {
+    private void closeIdleConnections(UpstreamServer server, Outcome outcome) {
         if (outcome == Outcome.CONNECT_FAILED) {
-            server.crowdedUntil = context.now() + CLOSE_IDLE_NANOS;
+            server.closeIdleUntil = context.now() + CLOSE_IDLE_NANOS;
         }
-        if (context.now() < server.crowdedUntil && server.outstanding == 0) {
+        if (context.now() < server.closeIdleUntil && server.outstanding == 0) {
             context.emit(new CloseIdle(server.id()));
         }
     }
 
-    private void originAttemptEnded(UpstreamServer server, AttemptEnded event, long aim, boolean givenUp) {
+    private void originAttemptEnded(UpstreamServer server, AttemptEnded event, long aim, boolean abandoned) {
         long duration = event.durationNanos();
-        originRate.fetchEnded(event.outcome(), duration, aim, givenUp);
-        if (isNotUp(event.outcome())) {
-            shrink(server, duration);
+        originRate.fetchEnded(event.outcome(), duration, aim, abandoned);
+        if (isUnreachable(event.outcome())) {
+            narrowWindow(server, duration);
         } else if (event.outcome() == Outcome.OK) {
-            answered(server, false, duration);
+            recordAnswer(server, false, duration);
         }
     }
 
@@ -126,51 +126,51 @@
         boolean served = outcome == Outcome.OK || outcome == Outcome.MISS;
         // Trial requests to an ejected cache say something about that cache, and first attempts about their connection,
         // but not about the load. Counting them would make admission control shed load because of a few bad caches.
-        if (server.failures < UpstreamServer.EJECTION_THRESHOLD && !server.early(duration)) {
+        if (server.failureScore < UpstreamServer.EJECTION_THRESHOLD && !server.sentDuringConnect(duration)) {
             admission.attempted(slow || !served);
         }
         // A cache answers a miss without queueing it, so a miss does not show whether the cache is overloaded.
         if (outcome == Outcome.OK) {
-            answered(server, slow, duration);
+            recordAnswer(server, slow, duration);
             traffic.answered(duration);
         } else if (served) {
-            missed(server);
+            recordMiss(server);
         } else if (outcome != Outcome.CANCELLED || slow) {
-            failed(server, duration, weight(outcome, job), outcome == Outcome.CONNECT_FAILED);
+            recordFailure(server, duration, failureWeight(outcome, job), outcome == Outcome.CONNECT_FAILED);
         }
     }
 
     /** Returns the weight of a failure in a server's run of failures. */
-    private int weight(Outcome outcome, Job job) {
-        boolean notUp = isNotUp(outcome);
+    private int failureWeight(Outcome outcome, Job job) {
+        boolean unreachable = isUnreachable(outcome);
         // Where a cache gets less than one request a second from this router, as in a large fleet, a single failure has
         // to
         // suffice for an ejection. Failures on popular keys are exempt unless the cache cannot be reached: a popular
         // key
         // that is slow to serve would otherwise have one cache after another ejected as its load moves on.
         boolean popular = job != null && hotKeys.isPopular(job.asked.key());
-        boolean seldom = cluster.readyCaches() > traffic.arrivals.perSecond() && (notUp || !popular);
+        boolean rarelyUsed = cluster.readyCaches() > traffic.arrivals.perSecond() && (unreachable || !popular);
         // A cache that reports itself full is ejected at once: further requests of many routers would not let it
         // recover.
-        if (outcome == Outcome.FULL || seldom) {
+        if (outcome == Outcome.FULL || rarelyUsed) {
             return UpstreamServer.EJECTION_THRESHOLD;
         }
-        return notUp ? 1 : LOST_REQUEST_WEIGHT;
+        return unreachable ? 1 : LOST_REQUEST_WEIGHT;
     }
 
-    private static boolean isNotUp(Outcome outcome) {
+    private static boolean isUnreachable(Outcome outcome) {
         return outcome == Outcome.CONNECT_FAILED || outcome == Outcome.UNSENT;
     }
 
-    private void answered(UpstreamServer server, boolean slow, long duration) {
-        server.failures = 0;
-        server.ejection = UpstreamServer.firstEjection(context);
-        server.prove(context.now());
+    private void recordAnswer(UpstreamServer server, boolean slow, long duration) {
+        server.failureScore = 0;
+        server.nextEjectionNanos = UpstreamServer.firstEjectionNanos(context);
+        server.recordAnswer(context.now());
         // The first answers include the time for connection setup, which must not narrow the initial window.
-        if (slow && !server.early(duration)) {
-            shrink(server, duration);
+        if (slow && !server.sentDuringConnect(duration)) {
+            narrowWindow(server, duration);
         } else {
-            server.grow();
+            server.widenWindow();
         }
     }
 
@@ -178,59 +178,60 @@
      * Takes a miss. Misses alone readmit an ejected cache, but slowly: each trial request answered with a miss lowers
      * the run of failures by one.
      */
-    private void missed(UpstreamServer server) {
-        server.prove(context.now());
-        if (server.failures >= UpstreamServer.EJECTION_THRESHOLD && context.now() >= server.ejectedUntil) {
-            server.failures = Math.min(server.failures - 1, 2 * UpstreamServer.EJECTION_THRESHOLD);
+    private void recordMiss(UpstreamServer server) {
+        server.recordAnswer(context.now());
+        if (server.failureScore >= UpstreamServer.EJECTION_THRESHOLD && context.now() >= server.ejectedUntil) {
+            server.failureScore = Math.min(server.failureScore - 1, 2 * UpstreamServer.EJECTION_THRESHOLD);
         }
     }
 
-    private void failed(UpstreamServer server, long duration, int weight, boolean refused) {
+    private void recordFailure(UpstreamServer server, long duration, int weight, boolean connectFailed) {
         // Slow handshakes make the first attempts fail and must not lead to an ejection. A refused connection counts
         // all
         // the same, as a server that is down refuses connections.
-        boolean spared = server.early(duration) && !refused;
+        boolean duringConnect = server.sentDuringConnect(duration) && !connectFailed;
         // Set for these failures only: lost connections and unreadable answers hit all servers alike, and would hide a
         // failing server by making the failure look common to the cluster.
-        server.failedAt = context.now();
-        if (!spared) {
-            shrink(server, duration);
+        server.lastFailureAt = context.now();
+        if (!duringConnect) {
+            narrowWindow(server, duration);
         }
-        fail(server, spared ? 0 : weight);
+        addFailure(server, duringConnect ? 0 : weight);
     }
 
     /**
      * Adds to a server's run of failures and ejects the server once the run is long enough. While most caches fail at
      * once, or too many are ejected already, only a server that has been silent for too long is ejected.
      */
-    private void fail(UpstreamServer server, int weight) {
+    private void addFailure(UpstreamServer server, int weight) {
         long now = context.now();
-        long firstEjection = UpstreamServer.firstEjection(context);
-        boolean common = cluster.strained();
-        if (common) {
-            cluster.health.forgive(
-                    now - firstEjection,
+        long firstEjectionNanos = UpstreamServer.firstEjectionNanos(context);
+        boolean widespread = cluster.mostCachesFail();
+        if (widespread) {
+            cluster.health.revokeEjections(
+                    now - firstEjectionNanos,
                     UpstreamServer.MAX_PAUSE_NANOS,
                     UpstreamServer.EJECTION_THRESHOLD,
                     cluster.fairWindow(),
                     now);
         }
-        server.failures += weight;
+        server.failureScore += weight;
         // No attempts are sent during an ejection, so failures that arrive now belong to attempts from before it and
         // must
         // not extend it.
-        if (server.failures < UpstreamServer.EJECTION_THRESHOLD || now < server.ejectedUntil) {
+        if (server.failureScore < UpstreamServer.EJECTION_THRESHOLD || now < server.ejectedUntil) {
             return;
         }
-        boolean tooMany = cluster.health.ejectedPart(UpstreamServer.EJECTION_THRESHOLD) > Cluster.MAX_EJECTED_FRACTION;
-        if ((common || tooMany) && !server.dead()) {
-            server.failures = UpstreamServer.EJECTION_THRESHOLD - 1;
+        boolean tooManyEjected =
+                cluster.health.ejectedFraction(UpstreamServer.EJECTION_THRESHOLD) > Cluster.MAX_EJECTED_FRACTION;
+        if ((widespread || tooManyEjected) && !server.isDead()) {
+            server.failureScore = UpstreamServer.EJECTION_THRESHOLD - 1;
             return;
         }
-        long longest = MAX_EJECTION_FACTOR * firstEjection;
-        server.eject((long) Math.max(server.ejection, Math.min(twoRequests(), longest)), now);
-        if (!common) {
-            server.ejection = Math.min(2 * server.ejection, longest);
+        long maxEjectionNanos = MAX_EJECTION_FACTOR * firstEjectionNanos;
+        server.eject((long) Math.max(server.nextEjectionNanos, Math.min(twoRequestsNanos(), maxEjectionNanos)), now);
+        if (!widespread) {
+            server.nextEjectionNanos = Math.min(2 * server.nextEjectionNanos, maxEjectionNanos);
         }
     }
 
@@ -238,14 +239,14 @@
      * Returns the time in nanoseconds in which this router sends two requests to one cache on average; 0 just after a
      * start, while the arrival rate is not known.
      */
-    private double twoRequests() {
+    private double twoRequestsNanos() {
         Tally arrivals = traffic.arrivals;
         return arrivals.isSettled() ? 2 * Timing.SECOND * cluster.readyCaches() / arrivals.perSecond() : 0;
     }
 
     /** Narrows a server's window; while most caches fail together, not below what an even share of the load needs. */
-    private void shrink(UpstreamServer server, long duration) {
-        boolean common = !server.isOrigin() && cluster.strained();
-        server.shrink(duration, WINDOW_CUT_FACTOR, common ? cluster.fairWindow() : MIN_WINDOW, context.now());
+    private void narrowWindow(UpstreamServer server, long duration) {
+        boolean widespread = !server.isOrigin() && cluster.mostCachesFail();
+        server.narrowWindow(duration, WINDOW_CUT_FACTOR, widespread ? cluster.fairWindow() : MIN_WINDOW, context.now());
     }
 }
--- a/src/main/java/slateseam/decision/SlotTable.java
+++ b/src/main/java/slateseam/decision/SlotTable.java
@@ -17,11 +17,11 @@
     private UpstreamServer[] slots = new UpstreamServer[MIN_SLOTS];
 
     /** Assigns slots to a list of servers, which replaces the previous list. */
-    void place(List<UpstreamServer> caches) {
+    void assign(List<UpstreamServer> caches) {
         slots = new UpstreamServer[Math.max(MIN_SLOTS, SLOTS_PER_SERVER * Integer.highestOneBit(caches.size()))];
         for (UpstreamServer server : caches) {
             long hash = JumpHash.mix(server.id());
-            while (at(hash) != null) {
+            while (serverFor(hash) != null) {
                 hash = JumpHash.mix(hash + 1);
             }
             slots[slotOf(hash)] = server;
@@ -29,7 +29,7 @@
     }
 
     /** Returns the server in the slot of a hash; null if the slot is empty. */
-    UpstreamServer at(long hash) {
+    UpstreamServer serverFor(long hash) {
         return slots[slotOf(hash)];
     }
 
@@ -47,7 +47,7 @@
      * Returns the server in the slot {@code steps} after another; the table wraps around. Returns null if that slot is
      * empty.
      */
-    UpstreamServer behind(int slot, int steps) {
+    UpstreamServer serverAfter(int slot, int steps) {
         return slots[(slot + steps) % slots.length];
     }
 }
--- a/src/main/java/slateseam/decision/SlowStart.java
+++ b/src/main/java/slateseam/decision/SlowStart.java
@@ -24,25 +24,25 @@
      * server has a token bucket in addition, so that its load stays below the point at which it falls over.
      *
      * @param hash the hash by which the key was mapped to the server
-     * @param topRating the highest rating of a ready cache server
+     * @param maxRating the highest rating of a ready cache server
      * @param readyCaches the number of ready cache servers
      */
-    boolean admits(UpstreamServer server, long hash, double topRating, int readyCaches) {
+    boolean admits(UpstreamServer server, long hash, double maxRating, int readyCaches) {
         double warmth = warmth(server);
-        double due = warmth * server.member.rating() / topRating;
-        if (JumpHash.unit(hash ^ server.id()) >= due) {
+        double keyFraction = warmth * server.member.rating() / maxRating;
+        if (JumpHash.unit(hash ^ server.id()) >= keyFraction) {
             return false;
         }
         if (warmth >= 1) {
             return true;
         }
         var rules = context.settings().rules();
-        double rate = traffic.arrivals.perSecond()
+        double tokensPerSecond = traffic.arrivals.perSecond()
                 * warmth
                 * COLD_LOAD_FRACTION
                 * rules.overloadFactor()
                 / Math.max(1, readyCaches);
-        return server.coldBucket.take(rate, rules.fallNanos(), context.now());
+        return server.coldBucket.take(tokensPerSecond, rules.fallNanos(), context.now());
     }
 
     /** Returns the fraction of its capacity that a server has by the warm-up of the site's rules; 1 once it is warm. */
--- a/src/main/java/slateseam/decision/UpstreamServer.java
+++ b/src/main/java/slateseam/decision/UpstreamServer.java
@@ -20,21 +20,21 @@
     Member member;
 
     /** The time until which idle connections are closed because the server refused a connection. */
-    long crowdedUntil;
+    long closeIdleUntil;
     /** Limits the requests of this router while the server's cache is cold. */
     final ColdBucket coldBucket;
 
     private final DecisionContext context;
 
     UpstreamServer(Member member, DecisionContext context) {
-        super(INITIAL_WINDOW, firstEjection(context));
+        super(INITIAL_WINDOW, firstEjectionNanos(context));
         this.member = member;
         this.context = context;
         coldBucket = new ColdBucket(context.unitOf(member.id()));
     }
 
     /** Returns the length of a first ejection in nanoseconds. */
-    static long firstEjection(DecisionContext context) {
+    static long firstEjectionNanos(DecisionContext context) {
         return FIRST_EJECTION_AIMS * context.shortestAim();
     }
 
@@ -42,7 +42,7 @@
         return member.id();
     }
 
-    boolean ready() {
+    boolean isReady() {
         return member.isReady();
     }
 
@@ -54,28 +54,28 @@
      * Whether requests may be sent to the server. As the member list may be stale and list a dead server as ready, a
      * server whose ejection has ended gets a single trial request first.
      */
-    boolean usable() {
-        return ready() && (failures < EJECTION_THRESHOLD || triable());
+    boolean isUsable() {
+        return isReady() && (failureScore < EJECTION_THRESHOLD || isTrialDue());
     }
 
     /** Whether this is a listed cache server that gets no requests now. */
     boolean isAvoided() {
-        return !isOrigin() && !member.isGone() && !usable();
+        return !isOrigin() && !member.isGone() && !isUsable();
     }
 
     /** Whether an ejected server may get a trial request: its ejection has ended and no attempt is outstanding. */
-    boolean triable() {
+    boolean isTrialDue() {
         return outstanding == 0 && context.now() >= ejectedUntil;
     }
 
     /** Whether the server has not responded for longer than the connection time-out. */
-    boolean silent() {
-        return silentFor(context.now()) > connectTimeout();
+    boolean isSilent() {
+        return silenceNanos(context.now()) > connectTimeoutNanos();
     }
 
     /** Whether the server has not responded for longer than a pause of its process could explain. */
-    boolean dead() {
-        return silentFor(context.now()) > MAX_PAUSE_NANOS + connectTimeout();
+    boolean isDead() {
+        return silenceNanos(context.now()) > MAX_PAUSE_NANOS + connectTimeoutNanos();
     }
 
     /**
@@ -83,13 +83,13 @@
      *
      * @param duration the duration of the attempt in nanoseconds
      */
-    boolean early(long duration) {
-        long most = MAX_PAUSE_NANOS + connectTimeout();
+    boolean sentDuringConnect(long duration) {
+        long connectNanos = MAX_PAUSE_NANOS + connectTimeoutNanos();
         long now = context.now();
-        return provenAt == 0 ? now - firstSentAt <= most : now - duration < provenAt;
+        return firstAnswerAt == 0 ? now - firstSentAt <= connectNanos : now - duration < firstAnswerAt;
     }
 
-    private long connectTimeout() {
+    private long connectTimeoutNanos() {
         return context.settings().limits().connectTimeoutNanos();
     }
 }
--- a/src/test/java/slateseam/simulate/PlantedBug.java
+++ b/src/test/java/slateseam/simulate/PlantedBug.java
@@ -53,8 +53,8 @@
                                 change(ROUTER + "pass/Passes", "met.pool(), entry.isReady()", "met.pool(), true"),
                                 change(
                                         UPSTREAM_SERVER,
-                                        "boolean ready() { return member.isReady(); }",
-                                        "boolean ready() { return !member.isGone(); }"))),
+                                        "boolean isReady() { return member.isReady(); }",
+                                        "boolean isReady() { return !member.isGone(); }"))),
                 new PlantedBug(
                         "sends a once-write again that may have run",
                         null,
@@ -102,7 +102,8 @@
                         "begins with a full bucket for a cold server",
                         null,
                         scenario("cold-servers"),
-                        List.of(change("decision/ColdBucket", ": ofAWindow + phase;", ": Double.MAX_VALUE;"))),
+                        List.of(change(
+                                "decision/ColdBucket", ": windowTokens + initialFraction;", ": Double.MAX_VALUE;"))),
                 new PlantedBug(
                         "writes a keyed write's repeat behind its window",
                         null,
