--- a/src/test/java/slateseam/decision/ColdBucketTest.java
+++ b/src/test/java/slateseam/decision/ColdBucketTest.java
@@ -13,41 +13,42 @@
 class ColdBucketTest {
     private static final long MS = 1_000_000L;
     private static final long WINDOW = 2_000 * MS;
-    /** The requests a second that a cache can bear just after its start, with all caches at full load. */
-    private static final double BEARS = 6;
+    /** The requests a second that a cache can sustain just after its start, with all caches at full load. */
+    private static final double SUSTAINABLE_PER_SECOND = 6;
 
     /** The multiple of that rate at which the cache falls over. */
-    private static final double MULTIPLE = 3;
+    private static final double OVERLOAD_FACTOR = 3;
 
     private static final int SEEDS = 300;
 
     /** The demand of the routers. */
     private interface Demand {
         /** Whether a router with this share of the traffic has a request at a time. */
-        boolean asks(SplittableRandom random, long now, double share);
+        boolean hasRequest(SplittableRandom random, long now, double share);
     }
 
     /** Every router has a request in every step, from the start. */
-    private static final Demand AT_ONCE = (random, now, share) -> true;
+    private static final Demand CONSTANT_DEMAND = (random, now, share) -> true;
 
     /** Every router has a request in every step, after a pause in which all buckets have filled. */
-    private static final Demand AFTER_A_PAUSE = (random, now, share) -> now > 9_000 * MS;
-    /** Requests come at random, at the rate that the cache can bear. */
-    private static final Demand TRAFFIC = (random, now, share) -> random.nextDouble() < BEARS * share * 0.01;
+    private static final Demand DEMAND_AFTER_PAUSE = (random, now, share) -> now > 9_000 * MS;
+    /** Requests come at random, at the rate that the cache can sustain. */
+    private static final Demand RANDOM_DEMAND =
+            (random, now, share) -> random.nextDouble() < SUSTAINABLE_PER_SECOND * share * 0.01;
 
     /** Returns the requests within one window at which the cache falls over. */
     private static double budget() {
-        return MULTIPLE * BEARS * WINDOW / 1e9;
+        return OVERLOAD_FACTOR * SUSTAINABLE_PER_SECOND * WINDOW / 1e9;
     }
 
     /** Returns the times of all requests that the buckets of the routers admit in 12 s, with random router restarts. */
-    private static List<Long> play(int routers, long seed, Demand demand) {
+    private static List<Long> admittedTimes(int routers, long seed, Demand demand) {
         SplittableRandom random = new SplittableRandom(seed);
         double[] shares = new double[routers];
-        double all = 0;
+        double total = 0;
         for (int i = 0; i < routers; i++) {
             shares[i] = Math.pow(random.nextDouble(), 2) + 0.1; // some routers have several times the mean share
-            all += shares[i];
+            total += shares[i];
         }
         List<ColdBucket> buckets = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
@@ -59,9 +60,9 @@
                 if (random.nextDouble() < 0.0005) {
                     buckets.set(i, new ColdBucket(random.nextDouble())); // the router restarts
                 }
-                double share = shares[i] / all;
-                double rate = 0.5 * MULTIPLE * BEARS * share;
-                if (demand.asks(random, now, share) && buckets.get(i).take(rate, WINDOW, now)) {
+                double share = shares[i] / total;
+                double rate = 0.5 * OVERLOAD_FACTOR * SUSTAINABLE_PER_SECOND * share;
+                if (demand.hasRequest(random, now, share) && buckets.get(i).take(rate, WINDOW, now)) {
                     sent.add(now);
                 }
             }
@@ -70,30 +71,32 @@
     }
 
     /** Returns the largest number of requests within any window. */
-    private static int mostInAWindow(List<Long> sent) {
-        int most = 0;
+    private static int maxInAWindow(List<Long> sent) {
+        int max = 0;
         for (int first = 0, last = 0; last < sent.size(); last++) {
             while (sent.get(last) - sent.get(first) > WINDOW) {
                 first++;
             }
-            most = Math.max(most, last - first + 1);
+            max = Math.max(max, last - first + 1);
         }
-        return most;
+        return max;
     }
 
     /** The requests in any window exceed the budget of the cache by no more than random variation. */
     @ParameterizedTest
     @ValueSource(ints = {4, 20, 30, 100})
-    void beyondTheBudgetOnlyChanceIsSent(int routers) {
-        double most = budget() + 2 * Math.sqrt(budget()) + 2;
+    void requestsInAWindowExceedTheBudgetOnlyByRandomVariation(int routers) {
+        double limit = budget() + 2 * Math.sqrt(budget()) + 2;
         // A hundred routers that all pause and then send together may send one request each, as ColdBucket documents.
-        List<Demand> demands = routers > 30 ? List.of(AT_ONCE, TRAFFIC) : List.of(AT_ONCE, AFTER_A_PAUSE, TRAFFIC);
+        List<Demand> demands = routers > 30
+                ? List.of(CONSTANT_DEMAND, RANDOM_DEMAND)
+                : List.of(CONSTANT_DEMAND, DEMAND_AFTER_PAUSE, RANDOM_DEMAND);
         for (Demand demand : demands) {
             List<Integer> windows = new ArrayList<>();
             for (long seed = 1; seed <= SEEDS; seed++) {
-                windows.add(mostInAWindow(play(routers, seed, demand)));
+                windows.add(maxInAWindow(admittedTimes(routers, seed, demand)));
             }
-            assertThat(Collections.max(windows)).as(routers + " routers").isLessThanOrEqualTo((int) most);
+            assertThat(Collections.max(windows)).as(routers + " routers").isLessThanOrEqualTo((int) limit);
         }
     }
 
@@ -103,12 +106,12 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {4, 20, 100})
-    void theWarmUpIsUsed(int routers) {
+    void aColdCacheGetsASufficientPartOfItsLoad(int routers) {
         double sent = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            sent += play(routers, seed, TRAFFIC).size();
+            sent += admittedTimes(routers, seed, RANDOM_DEMAND).size();
         }
-        double part = sent / SEEDS / (BEARS * 12);
+        double part = sent / SEEDS / (SUSTAINABLE_PER_SECOND * 12);
         assertThat(part).isGreaterThan(routers == 4 ? 0.6 : 0.25);
     }
 }
--- a/src/test/java/slateseam/decision/SlicesPlacementTest.java
+++ b/src/test/java/slateseam/decision/SlicesPlacementTest.java
@@ -87,13 +87,14 @@
      * them.
      */
     @Test
-    void theFewThatAreLeftOfManyShareTheKeys() {
+    void theFewServersLeftOfManyShareTheKeys() {
         int listed = 1_024;
-        int left = 16;
+        int remaining = 16;
         List<Member> members = new ArrayList<>();
         members.add(World.member(World.ORIGIN, MemberState.READY, 0));
         for (int i = 0; i < listed; i++) {
-            members.add(World.member(10 + i, i % (listed / left) == 0 ? MemberState.READY : MemberState.DRAINING, 0));
+            members.add(
+                    World.member(10 + i, i % (listed / remaining) == 0 ? MemberState.READY : MemberState.DRAINING, 0));
         }
         world.on(new MembersChanged(ListKind.FULL, members));
         Map<Long, Long> keysOf = IntStream.range(0, KEYS)
@@ -102,15 +103,15 @@
                     return world.homeOf(JumpHash.mix(key + 1));
                 })
                 .collect(Collectors.groupingBy(home -> home, Collectors.counting()));
-        assertThat(keysOf).doesNotContainKey(-1L).hasSize(left);
+        assertThat(keysOf).doesNotContainKey(-1L).hasSize(remaining);
         assertThat(Collections.max(keysOf.values()))
-                .as("keys of the one that has most")
+                .as("keys of the server with the most keys")
                 .isLessThan(KEYS / 3);
     }
 
     /** Repacking endpoints into other slices moves no keys; removing a server moves only the keys of that server. */
     @Test
-    void keysStayWhenSlicesAreRepackedAndOnlyThoseOfAServerThatGoesMove() {
+    void repackingMovesNoKeysAndRemovalMovesOnlyKeysOfTheRemovedServer() {
         membership.listed(List.of(slice("a", 0, 50), slice("b", 50, SERVERS)), "12", 0);
         long[] before = homes();
         assertThat(before).doesNotContain(-1);
@@ -125,11 +126,12 @@
         membership.changed(slice("n0", 1, 10), version * MS);
         version += 1_000;
         long[] after = homes();
-        long gone = Hash.of(endpoint(0).targetUid().getBytes(StandardCharsets.UTF_8)) >>> 1;
-        long ofIt = IntStream.range(0, KEYS).filter(i -> before[i] == gone).count();
+        long removed = Hash.of(endpoint(0).targetUid().getBytes(StandardCharsets.UTF_8)) >>> 1;
+        long keysOfRemoved =
+                IntStream.range(0, KEYS).filter(i -> before[i] == removed).count();
         assertThat(moved(before, after))
-                .as("one of a hundred gone")
-                .isEqualTo(ofIt)
+                .as("one of a hundred servers removed")
+                .isEqualTo(keysOfRemoved)
                 .isBetween(100L, 400L);
     }
 }
