--- a/src/main/java/slateseam/decision/Cluster.java
+++ b/src/main/java/slateseam/decision/Cluster.java
@@ -10,8 +10,8 @@
 import slateseam.decision.Api.MembersChanged;
 
 /**
- * Maintains the servers of the member list, maps keys to cache servers and tells whether most cache servers fail at the
- * same time.
+ * Maintains the servers of the member list, maps keys to cache servers and tells whether most cache servers fail at
+ * the same time.
  */
 final class Cluster {
     /**
@@ -26,7 +26,9 @@
     /** The servers by member id: all that are listed, and unlisted ones with outstanding attempts. */
     final TreeMap<Long, UpstreamServer> servers = new TreeMap<>();
 
+    /** The combined health of the ready cache servers. */
     final FarmHealth health = new FarmHealth();
+
     private final SlotTable slots = new SlotTable();
     private final DecisionContext context;
     private final TrafficStats traffic;
@@ -86,6 +88,7 @@
                 .orElse(1);
     }
 
+    /** Marks the servers that are missing from a full list as gone. */
     private void removeUnlisted(List<Member> members) {
         Set<Long> listed = new HashSet<>();
         members.forEach(member -> listed.add(member.id()));
@@ -115,8 +118,7 @@
      */
     UpstreamServer home(long key, UpstreamServer excluded) {
         // A key whose hash gives an empty slot, or a starting server that does not take the key yet, goes on to its
-        // next
-        // hash. The key thus stays on the server that it had before the slot was filled.
+        // next hash. The key thus stays on the server that it had before the slot was filled.
         for (int salt = 0; salt < MAX_HASHES && readyCaches > 0; salt++) {
             long hash = salt == 0 ? key : JumpHash.mix(key + salt * SALT_STEP);
             UpstreamServer server = slots.serverFor(hash);
@@ -125,8 +127,7 @@
             }
         }
         // If few of many servers are left, all hashes may miss them. Then the next usable server behind the key's own
-        // slot
-        // takes the key.
+        // slot takes the key.
         int firstSlot = slots.slotOf(key);
         for (int step = 0; step < slots.size(); step++) {
             UpstreamServer server = slots.serverAfter(firstSlot, step);
@@ -145,7 +146,7 @@
                 && slowStart.admits(server, hash, maxRating, readyCaches);
     }
 
-    /** Whether most caches have failed within the length of a first ejection. */
+    /** Whether most caches have failed recently: within a time as long as a first ejection. */
     boolean mostCachesFail() {
         long since = context.now() - UpstreamServer.firstEjectionNanos(context);
         return health.failedFraction(since) > MAX_EJECTED_FRACTION;
@@ -162,7 +163,7 @@
 
     /**
      * Returns the window that this router needs at each cache at the usual answer time if its requests are spread
-     * evenly over the ready caches; at least 1.
+     * evenly over the ready caches; from 1 to half of the window that an unknown server starts with.
      */
     double fairWindow() {
         double concurrency = traffic.arrivals.perSecond() * traffic.answerTime() / Timing.SECOND;
--- a/src/main/java/slateseam/decision/ColdBucket.java
+++ b/src/main/java/slateseam/decision/ColdBucket.java
@@ -6,10 +6,10 @@
  *
  * <p>A bucket holds at most the tokens of a quarter of the overload window, or one token if that is less. The bucket
  * is first filled with the tokens of a whole window and a random fraction of one token, up to that capacity.
- * {@link SlowStart} sets the rates so that at full load they add up to half of what the cache can bear in a window. Apart
- * from random variation, all routers together then send no more in the first window than the cache can bear, whatever
- * the demand. If each bucket were full when its cache is first seen, or when its router restarts, each router could
- * send one request at the same instant, however many routers there are.
+ * {@link SlowStart} sets the rates so that at full load they add up to half of what the cache can bear in a window.
+ * Apart from random variation, all routers together then send no more in the first window than the cache can bear,
+ * whatever the demand. If each bucket were full when its cache is first seen, or when its router restarts, each router
+ * could send one request at the same instant, however many routers there are.
  *
  * <p>In later windows the bound is half of what the cache can bear plus one request for each router. For up to about
  * 30 routers that is within random variation. With 100 routers the limit is exceeded only if all of them send nothing
@@ -24,6 +24,7 @@
     private final double initialFraction;
     private double tokens;
     private long lastTakeAt;
+    /** Whether the first fill has been made. */
     private boolean filled;
 
     /**
--- a/src/main/java/slateseam/decision/FarmHealth.java
+++ b/src/main/java/slateseam/decision/FarmHealth.java
@@ -22,8 +22,8 @@
     }
 
     /**
-     * Returns the fraction of the ready caches whose run of failures has reached a limit: each of these is ejected, or
-     * gets a trial request before any others.
+     * Returns the fraction of the ready caches whose failure score has reached a threshold: each of these is ejected,
+     * or gets a trial request before any others.
      */
     double ejectedFraction(int threshold) {
         return fraction(caches.stream()
@@ -44,7 +44,7 @@
      *
      * @param since the time from which on ejections and failures are recent
      * @param maxSilence the longest silence, in nanoseconds, of a cache whose ejection is revoked
-     * @param threshold the run of failures that ejects; a readmitted cache is left one short of it
+     * @param threshold the failure score that ejects; a readmitted cache is left with a score of one less
      * @param minWindow the smallest window that a cache which failed recently is left with
      */
     void revokeEjections(long since, long maxSilence, int threshold, double minWindow, long now) {
--- a/src/main/java/slateseam/decision/FetchTimes.java
+++ b/src/main/java/slateseam/decision/FetchTimes.java
@@ -50,8 +50,7 @@
         double averagingWeight = fetches <= AVERAGED_FETCHES ? 1.0 / fetches : 0;
         recent += Math.max(RECENT_WEIGHT, averagingWeight) * (nanos - recent);
         // The first fetches may be quick by chance or because the origin is idle. If the usual time stayed at their
-        // times,
-        // all later fetches would look like an overload, and the rate R would be cut and not grow again.
+        // times, all later fetches would look like an overload, and the rate R would be cut and not grow again.
         double weight = Math.max(averagingWeight, recent < usual ? FALL_WEIGHT : RISE_WEIGHT);
         usual += weight * (recent - usual);
     }
--- a/src/main/java/slateseam/decision/Health.java
+++ b/src/main/java/slateseam/decision/Health.java
@@ -6,7 +6,7 @@
  * {@link OutlierDetection} decides on ejections. Times are in nanoseconds of the module's clock; 0 stands for never.
  */
 class Health {
-    /** The sum of the weights of the failures since the last answer. */
+    /** The failure score: the sum of the weights of the failures since the last answer that was not a miss. */
     int failureScore;
     /** The number of attempts that have been sent and have not ended. */
     int outstanding;
--- a/src/main/java/slateseam/decision/KeyCounts.java
+++ b/src/main/java/slateseam/decision/KeyCounts.java
@@ -15,7 +15,8 @@
     /** The largest number of keys counted at a time; while it is reached, further keys are not counted. */
     static final int MOST_KEYS = 8 * 1024;
     /**
-     * The limit in place of the usual one while the table is more than half full: drops keys that were read only once.
+     * The limit in place of {@link #MIN_READS} while the table is more than half full: drops keys that were read only
+     * once.
      */
     private static final double MIN_READS_WHEN_CROWDED = 1;
     /**
--- a/src/main/java/slateseam/decision/OutlierDetection.java
+++ b/src/main/java/slateseam/decision/OutlierDetection.java
@@ -13,7 +13,7 @@
  */
 final class OutlierDetection {
     /**
-     * The weight of a time-out, an error or a slow attempt that was cancelled in a server's run of failures. A
+     * The weight of a time-out, an error or a slow attempt that was cancelled in a server's failure score. A
      * connection that cannot be set up weighs 1.
      */
     private static final int LOST_REQUEST_WEIGHT = 2;
@@ -65,8 +65,8 @@
         Outcome outcome = event.outcome();
         long aim = (job != null ? job.type : context.settings().classes().get(0)).aimNanos();
         boolean slow = event.durationNanos() > SLOW_AIM_FRACTION * aim;
-        // Nothing was sent, which says something about this router alone, or about a handshake that is still within the
-        // connection time-out.
+        // Nothing was sent, which says something about this router alone, or about a handshake that is still within
+        // the connection time-out.
         if (outcome == Outcome.MOOT || outcome == Outcome.UNSENT && !server.isSilent()) {
             return;
         }
@@ -79,10 +79,8 @@
         }
         if (outcome.isMishap()) {
             // Lost connections and unreadable answers hit all servers alike and say nothing about their load. They
-            // leave the
-            // window alone and do not count towards the cluster's common failures, which would suspend ejection. A
-            // cache
-            // server is ejected only after a run of them without an answer in between.
+            // leave the window alone and do not count towards the cluster's common failures, which would suspend
+            // ejection. A cache server is ejected only after a run of them without an answer in between.
             if (!server.isOrigin()) {
                 addFailure(server, 1);
             }
@@ -124,8 +122,9 @@
         Outcome outcome = event.outcome();
         long duration = event.durationNanos();
         boolean served = outcome == Outcome.OK || outcome == Outcome.MISS;
-        // Trial requests to an ejected cache say something about that cache, and first attempts about their connection,
-        // but not about the load. Counting them would make admission control shed load because of a few bad caches.
+        // Trial requests to an ejected cache say something about that cache, and first attempts about their
+        // connection, but not about the load. Counting them would make admission control shed load because of a few
+        // bad caches.
         if (server.failureScore < UpstreamServer.EJECTION_THRESHOLD && !server.sentDuringConnect(duration)) {
             admission.attempted(slow || !served);
         }
@@ -140,14 +139,13 @@
         }
     }
 
-    /** Returns the weight of a failure in a server's run of failures. */
+    /** Returns by how much a failure raises a server's failure score. */
     private int failureWeight(Outcome outcome, Job job) {
         boolean unreachable = isUnreachable(outcome);
-        // Where a cache gets less than one request a second from this router, as in a large fleet, a single failure has
-        // to
-        // suffice for an ejection. Failures on popular keys are exempt unless the cache cannot be reached: a popular
-        // key
-        // that is slow to serve would otherwise have one cache after another ejected as its load moves on.
+        // Where a cache gets less than one request a second from this router, as in a large fleet, a single failure
+        // has to suffice for an ejection. Failures on popular keys are exempt unless the cache cannot be reached: a
+        // popular key that is slow to serve would otherwise have one cache after another ejected as its load moves
+        // on.
         boolean popular = job != null && hotKeys.isPopular(job.asked.key());
         boolean rarelyUsed = cluster.readyCaches() > traffic.arrivals.perSecond() && (unreachable || !popular);
         // A cache that reports itself full is ejected at once: further requests of many routers would not let it
@@ -158,10 +156,12 @@
         return unreachable ? 1 : LOST_REQUEST_WEIGHT;
     }
 
+    /** Whether an outcome means that no connection could be set up in time. */
     private static boolean isUnreachable(Outcome outcome) {
         return outcome == Outcome.CONNECT_FAILED || outcome == Outcome.UNSENT;
     }
 
+    /** Records a hit of a cache server or an answer of the origin. */
     private void recordAnswer(UpstreamServer server, boolean slow, long duration) {
         server.failureScore = 0;
         server.nextEjectionNanos = UpstreamServer.firstEjectionNanos(context);
@@ -175,8 +175,8 @@
     }
 
     /**
-     * Takes a miss. Misses alone readmit an ejected cache, but slowly: each trial request answered with a miss lowers
-     * the run of failures by one.
+     * Records a miss. Misses alone readmit an ejected cache, but slowly: each trial request answered with a miss
+     * lowers the failure score by one.
      */
     private void recordMiss(UpstreamServer server) {
         server.recordAnswer(context.now());
@@ -185,13 +185,13 @@
         }
     }
 
+    /** Records an attempt at a cache server that failed, or that was cancelled because it was slow. */
     private void recordFailure(UpstreamServer server, long duration, int weight, boolean connectFailed) {
         // Slow handshakes make the first attempts fail and must not lead to an ejection. A refused connection counts
-        // all
-        // the same, as a server that is down refuses connections.
+        // all the same, as a server that is down refuses connections.
         boolean duringConnect = server.sentDuringConnect(duration) && !connectFailed;
-        // Set for these failures only: lost connections and unreadable answers hit all servers alike, and would hide a
-        // failing server by making the failure look common to the cluster.
+        // Set for these failures only: lost connections and unreadable answers hit all servers alike, and would hide
+        // a failing server by making the failure look common to the cluster.
         server.lastFailureAt = context.now();
         if (!duringConnect) {
             narrowWindow(server, duration);
@@ -200,8 +200,9 @@
     }
 
     /**
-     * Adds to a server's run of failures and ejects the server once the run is long enough. While most caches fail at
-     * once, or too many are ejected already, only a server that has been silent for too long is ejected.
+     * Raises a server's failure score and ejects the server once the score has reached the threshold. While most
+     * caches fail at once, or too many are ejected already, only a server that has been silent for too long is
+     * ejected.
      */
     private void addFailure(UpstreamServer server, int weight) {
         long now = context.now();
@@ -217,8 +218,7 @@
         }
         server.failureScore += weight;
         // No attempts are sent during an ejection, so failures that arrive now belong to attempts from before it and
-        // must
-        // not extend it.
+        // must not extend it.
         if (server.failureScore < UpstreamServer.EJECTION_THRESHOLD || now < server.ejectedUntil) {
             return;
         }
--- a/src/main/java/slateseam/decision/UpstreamServer.java
+++ b/src/main/java/slateseam/decision/UpstreamServer.java
@@ -4,7 +4,7 @@
 
 /** A cache server or the origin: its entry in the member list and its health as this router sees it. */
 final class UpstreamServer extends Health {
-    /** The weight of a run of failures from which a server is ejected. */
+    /** The failure score from which a server is ejected. */
     static final int EJECTION_THRESHOLD = 4;
     /** The window of a server about which nothing is known yet. */
     static final double INITIAL_WINDOW = 8;
@@ -42,6 +42,7 @@
         return member.id();
     }
 
+    /** Whether the member list has the server as ready. */
     boolean isReady() {
         return member.isReady();
     }
--- a/src/test/java/slateseam/decision/StrainTest.java
+++ b/src/test/java/slateseam/decision/StrainTest.java
@@ -43,7 +43,7 @@
         world.fleet(CACHES);
     }
 
-    /** Advances the time in steps of 10 ms, with {@code requestsPerStep} requests for keys drawn at random in each step. */
+    /** Advances the time in steps of 10 ms, each with {@code requestsPerStep} requests for random keys. */
     private void pass(long nanos, int requestsPerStep) {
         sendsByCache = new int[CACHES];
         unserved = 0;
@@ -155,7 +155,7 @@
     }
 
     /**
-     * More than half of the caches die, with connections unserved or attempts that time pending. The other five get the
+     * More than half of the caches die, with connections refused or attempts that time out. The other five get the
      * load, and the dead caches get trial requests only.
      */
     @Test
