--- a/src/main/java/slateseam/decision/FarmHealth.java
+++ b/src/main/java/slateseam/decision/FarmHealth.java
@@ -3,53 +3,65 @@
 import java.util.List;
 
 /**
- * What happens to the ready caches of the farm at the same time, so that none is blamed for what befalls most of them.
- * It counts; {@link OutlierDetection} decides. As many entries as the list has ready caches; each count looks at all of them.
+ * Aggregates the health of all ready caches of the farm, to tell a failure common to most of them from the failure of
+ * one. This class counts; {@link OutlierDetection} decides on ejections. Each count visits every ready cache.
  */
 final class FarmHealth {
     private List<? extends Health> caches = List.of();
 
-    /** Takes the caches that are ready now. */
-    void ready(List<? extends Health> ready) {
+    /** Sets the caches that are ready now. */
+    void setReady(List<? extends Health> ready) {
         caches = ready;
     }
 
-    /** The part of the caches that have failed since a time; 0 where there is none. */
-    double failedPart(long since) {
-        return part(caches.stream()
-                .filter(h -> h.failedAt != 0 && h.failedAt >= since)
+    /** Returns the fraction of the ready caches that have failed since a time; 0 if there are no ready caches. */
+    double failedFraction(long since) {
+        return fraction(caches.stream()
+                .filter(server -> server.lastFailureAt != 0 && server.lastFailureAt >= since)
                 .count());
     }
 
-    /** The part that has so many failures in a row that it is left alone, or is to be tried first. */
-    double ejectedPart(int failures) {
-        return part(caches.stream().filter(h -> h.failures >= failures).count());
+    /**
+     * Returns the fraction of the ready caches whose failure score has reached a threshold: each of these is ejected,
+     * or gets a trial request before any others.
+     */
+    double ejectedFraction(int threshold) {
+        return fraction(caches.stream()
+                .filter(server -> server.failureScore >= threshold)
+                .count());
     }
 
-    /** The part that first answered this router, since its own last start, before a time. */
-    double provenPart(long before) {
-        return part(caches.stream()
-                .filter(h -> h.provenAt != 0 && h.provenAt < before)
+    /** Returns the fraction of the ready caches whose first answer since their last start came before a time. */
+    double answeredFraction(long before) {
+        return fraction(caches.stream()
+                .filter(server -> server.firstAnswerAt != 0 && server.firstAnswerAt < before)
                 .count());
     }
 
     /**
-     * Takes back the ejections since a time of those that have not been silent for longer than this: they were the
-     * first of many. Each is left one failure short of this many, and with at least this window.
+     * Revokes the recent ejections of caches that still respond, once most caches fail: those ejected first failed for
+     * the same reason as the others. Also widens the windows of the caches that failed recently.
+     *
+     * @param since the time from which on ejections and failures are recent
+     * @param maxSilence the longest silence, in nanoseconds, of a cache whose ejection is revoked
+     * @param threshold the failure score that ejects; a readmitted cache is left with a score of one less
+     * @param minWindow the smallest window that a cache which failed recently is left with
      */
-    void forgive(long since, long silence, int failures, double window, long now) {
-        for (Health h : caches) {
-            if (h.failures >= failures && h.ejectedAt >= since && h.silentFor(now) <= silence) {
-                h.failures = failures - 1;
-                h.ejectedUntil = now;
+    void revokeEjections(long since, long maxSilence, int threshold, double minWindow, long now) {
+        for (Health server : caches) {
+            if (server.failureScore >= threshold
+                    && server.ejectedAt >= since
+                    && server.silenceNanos(now) <= maxSilence) {
+                server.failureScore = threshold - 1;
+                server.ejectedUntil = now;
             }
-            if (h.failedAt >= since) {
-                h.window = Math.max(h.window, window);
+            if (server.lastFailureAt >= since) {
+                server.window = Math.max(server.window, minWindow);
             }
         }
     }
 
-    private double part(long count) {
+    private double fraction(long count) {
         return caches.isEmpty() ? 0 : (double) count / caches.size();
     }
 }
--- a/src/main/java/slateseam/decision/OutlierDetection.java
+++ b/src/main/java/slateseam/decision/OutlierDetection.java
@@ -7,23 +7,29 @@
 import slateseam.decision.Api.Outcome;
 
 /**
- * What the outcome of an attempt tells of its server: narrows the window of one that is slow and ejects one that
- * loses work. Ejection is relative to the cluster, so that none is blamed for what befalls most.
+ * Passive outlier detection: infers the health of a server from the outcomes of the attempts sent to it. Narrows the
+ * concurrency window of a server that is slow and ejects a cache server that loses requests. Ejection is relative to
+ * the cluster: while most cache servers fail together, the cause is shared and no single server is ejected for it.
  */
 final class OutlierDetection {
-    /** What lost work weighs in a row of failures. */
-    private static final int LOST_WORK = 2;
-    /** Of the aim; what takes longer narrows the window. */
-    private static final double SLOW_ANSWER = 0.6;
-
-    private static final double WINDOW_CUT = 0.75;
-    private static final double LEAST_WINDOW = 0.1;
-    /** By the first ejection; it doubles three times. */
-    private static final int MOST_EJECTION = 8;
-    /** For which idle connections are closed, after a refusal. */
-    private static final long CROWDED = 20 * Timing.SECOND;
-    /** No sign of life; we end these ourselves. */
-    private static final Set<Outcome> NOTHING_BACK =
+    /**
+     * The weight of a time-out, an error or a slow attempt that was cancelled in a server's failure score. A
+     * connection that cannot be set up weighs 1.
+     */
+    private static final int LOST_REQUEST_WEIGHT = 2;
+    /** The duration, as a fraction of the request class's aim, above which an answer is slow and narrows the window. */
+    private static final double SLOW_AIM_FRACTION = 0.6;
+
+    /** The factor by which a slow answer or a failure narrows a window. */
+    private static final double WINDOW_CUT_FACTOR = 0.75;
+    /** The floor of a window; a window below 1 spaces single attempts out in time. */
+    private static final double MIN_WINDOW = 0.1;
+    /** The longest ejection as a multiple of the first; ejections double in length three times. */
+    private static final int MAX_EJECTION_FACTOR = 8;
+    /** How long idle connections to a server are closed after it refused a connection, in nanoseconds. */
+    private static final long CLOSE_IDLE_NANOS = 20 * Timing.SECOND;
+    /** The outcomes that the router sets itself, without having received anything from the server. */
+    private static final Set<Outcome> WITHOUT_RESPONSE =
             EnumSet.of(Outcome.CONNECT_FAILED, Outcome.UNSENT, Outcome.MOOT, Outcome.TIMEOUT, Outcome.CANCELLED);
 
     private final DecisionContext context;
@@ -48,32 +54,39 @@
         this.admission = admission;
     }
 
-    /** Takes the outcome of an attempt; {@code job} is null if the request has its answer. */
+    /**
+     * Updates the health of a server from the outcome of an attempt.
+     *
+     * @param server the server that the attempt was sent to
+     * @param job the request of the attempt; null if the request already has its final answer
+     */
     void attemptEnded(UpstreamServer server, AttemptEnded event, Job job) {
-        server.ended();
+        server.attemptEnded();
         Outcome outcome = event.outcome();
         long aim = (job != null ? job.type : context.settings().classes().get(0)).aimNanos();
-        boolean slow = event.durationNanos() > SLOW_ANSWER * aim;
-        // Nothing was sent: that tells of this router alone, or of a handshake that needs its time.
-        if (outcome == Outcome.MOOT || outcome == Outcome.UNSENT && !server.silent()) {
+        boolean slow = event.durationNanos() > SLOW_AIM_FRACTION * aim;
+        // Nothing was sent, which says something about this router alone, or about a handshake that is still within
+        // the connection time-out.
+        if (outcome == Outcome.MOOT || outcome == Outcome.UNSENT && !server.isSilent()) {
             return;
         }
-        // What had little time from the start tells of the request and not of the server.
+        // An attempt with little time left from its start says something about the request, not about the server.
         if (outcome == Outcome.TIMEOUT && !slow && !server.isOrigin()) {
             return;
         }
-        if (!NOTHING_BACK.contains(outcome)) {
-            server.cameBack();
+        if (!WITHOUT_RESPONSE.contains(outcome)) {
+            server.recordResponse();
         }
         if (outcome.isMishap()) {
-            // Guards against sparing servers for what happens to all answers alike and tells nothing of
-            // their load. Only one that answers nothing else for a while is ejected.
+            // Lost connections and unreadable answers hit all servers alike and say nothing about their load. They
+            // leave the window alone and do not count towards the cluster's common failures, which would suspend
+            // ejection. A cache server is ejected only after a run of them without an answer in between.
             if (!server.isOrigin()) {
-                fail(server, 1);
+                addFailure(server, 1);
             }
             return;
         }
-        closeIdleOfCrowded(server, outcome);
+        closeIdleConnections(server, outcome);
         if (server.isOrigin()) {
             originAttemptEnded(server, event, aim, job == null);
         } else {
@@ -82,25 +95,26 @@
     }
 
     /**
-     * Guards against a server's connections being used up by idle ones of many routers. Not every server's: a process
-     * that died refuses too, and each request would cost a handshake.
+     * Closes idle connections to a server that recently refused a connection, so that the idle connections of many
+     * routers do not use up its connection limit. Idle connections to other servers stay open: a process that crashed
+     * refuses connections too, and closing them everywhere would cost each request a handshake.
      */
-    private void closeIdleOfCrowded(UpstreamServer server, Outcome outcome) {
+    private void closeIdleConnections(UpstreamServer server, Outcome outcome) {
         if (outcome == Outcome.CONNECT_FAILED) {
-            server.crowdedUntil = context.now() + CROWDED;
+            server.closeIdleUntil = context.now() + CLOSE_IDLE_NANOS;
         }
-        if (context.now() < server.crowdedUntil && server.outstanding == 0) {
+        if (context.now() < server.closeIdleUntil && server.outstanding == 0) {
             context.emit(new CloseIdle(server.id()));
         }
     }
 
-    private void originAttemptEnded(UpstreamServer server, AttemptEnded event, long aim, boolean givenUp) {
+    private void originAttemptEnded(UpstreamServer server, AttemptEnded event, long aim, boolean abandoned) {
         long duration = event.durationNanos();
-        originRate.fetchEnded(event.outcome(), duration, aim, givenUp);
-        if (isNotUp(event.outcome())) {
-            shrink(server, duration);
+        originRate.fetchEnded(event.outcome(), duration, aim, abandoned);
+        if (isUnreachable(event.outcome())) {
+            narrowWindow(server, duration);
         } else if (event.outcome() == Outcome.OK) {
-            answered(server, false, duration);
+            recordAnswer(server, false, duration);
         }
     }
 
@@ -108,105 +122,131 @@
         Outcome outcome = event.outcome();
         long duration = event.durationNanos();
         boolean served = outcome == Outcome.OK || outcome == Outcome.MISS;
-        // Guards against a few sick caches closing the door: a trial tells of the cache, not of the load,
-        // and a first attempt of its connection.
-        if (server.failures < UpstreamServer.FAILURES && !server.early(duration)) {
+        // Trial requests to an ejected cache say something about that cache, and first attempts about their
+        // connection, but not about the load. Counting them would make admission control shed load because of a few
+        // bad caches.
+        if (server.failureScore < UpstreamServer.EJECTION_THRESHOLD && !server.sentDuringConnect(duration)) {
             admission.attempted(slow || !served);
         }
-        // A miss is answered beside the queue and tells nothing of a cache that is overrun.
+        // A cache answers a miss without queueing it, so a miss does not show whether the cache is overloaded.
         if (outcome == Outcome.OK) {
-            answered(server, slow, duration);
+            recordAnswer(server, slow, duration);
             traffic.answered(duration);
         } else if (served) {
-            missed(server);
+            recordMiss(server);
         } else if (outcome != Outcome.CANCELLED || slow) {
-            failed(server, duration, weight(outcome, job), outcome == Outcome.CONNECT_FAILED);
+            recordFailure(server, duration, failureWeight(outcome, job), outcome == Outcome.CONNECT_FAILED);
         }
     }
 
-    /** What a failure weighs in a row of them. */
-    private int weight(Outcome outcome, Job job) {
-        boolean notUp = isNotUp(outcome);
-        // Of a large fleet's cache one failure is all the warning before the next request; but a
-        // popular key that is slow to serve must not drive its load from cache to cache.
+    /** Returns by how much a failure raises a server's failure score. */
+    private int failureWeight(Outcome outcome, Job job) {
+        boolean unreachable = isUnreachable(outcome);
+        // Where a cache gets less than one request a second from this router, as in a large fleet, a single failure
+        // has to suffice for an ejection. Failures on popular keys are exempt unless the cache cannot be reached: a
+        // popular key that is slow to serve would otherwise have one cache after another ejected as its load moves
+        // on.
         boolean popular = job != null && hotKeys.isPopular(job.asked.key());
-        boolean seldom = cluster.readyCaches() > traffic.arrivals.perSecond() && (notUp || !popular);
-        // A full answer ejects: many routers' next requests would keep a full cache from the rest it needs.
-        if (outcome == Outcome.FULL || seldom) {
-            return UpstreamServer.FAILURES;
+        boolean rarelyUsed = cluster.readyCaches() > traffic.arrivals.perSecond() && (unreachable || !popular);
+        // A cache that reports itself full is ejected at once: further requests of many routers would not let it
+        // recover.
+        if (outcome == Outcome.FULL || rarelyUsed) {
+            return UpstreamServer.EJECTION_THRESHOLD;
         }
-        return notUp ? 1 : LOST_WORK;
+        return unreachable ? 1 : LOST_REQUEST_WEIGHT;
     }
 
-    private static boolean isNotUp(Outcome outcome) {
+    /** Whether an outcome means that no connection could be set up in time. */
+    private static boolean isUnreachable(Outcome outcome) {
         return outcome == Outcome.CONNECT_FAILED || outcome == Outcome.UNSENT;
     }
 
-    private void answered(UpstreamServer server, boolean slow, long duration) {
-        server.failures = 0;
-        server.ejection = UpstreamServer.firstEjection(context);
-        server.prove(context.now());
-        // Guards against narrowing a first window for what its connection took to come up.
-        if (slow && !server.early(duration)) {
-            shrink(server, duration);
+    /** Records a hit of a cache server or an answer of the origin. */
+    private void recordAnswer(UpstreamServer server, boolean slow, long duration) {
+        server.failureScore = 0;
+        server.nextEjectionNanos = UpstreamServer.firstEjectionNanos(context);
+        server.recordAnswer(context.now());
+        // The first answers include the time for connection setup, which must not narrow the initial window.
+        if (slow && !server.sentDuringConnect(duration)) {
+            narrowWindow(server, duration);
         } else {
-            server.grow();
+            server.widenWindow();
         }
     }
 
-    /** Misses alone bring one back that was ejected, but slowly: each answered trial counts one. */
-    private void missed(UpstreamServer server) {
-        server.prove(context.now());
-        if (server.failures >= UpstreamServer.FAILURES && context.now() >= server.ejectedUntil) {
-            server.failures = Math.min(server.failures - 1, 2 * UpstreamServer.FAILURES);
+    /**
+     * Records a miss. Misses alone readmit an ejected cache, but slowly: each trial request answered with a miss
+     * lowers the failure score by one.
+     */
+    private void recordMiss(UpstreamServer server) {
+        server.recordAnswer(context.now());
+        if (server.failureScore >= UpstreamServer.EJECTION_THRESHOLD && context.now() >= server.ejectedUntil) {
+            server.failureScore = Math.min(server.failureScore - 1, 2 * UpstreamServer.EJECTION_THRESHOLD);
         }
     }
 
-    private void failed(UpstreamServer server, long duration, int weight, boolean refused) {
-        // Guards against ejecting for what handshakes do to it; one that is down refuses connections.
-        boolean spared = server.early(duration) && !refused;
-        // Only here: mishaps befall all answers alike, and would hide one that is sick.
-        server.failedAt = context.now();
-        if (!spared) {
-            shrink(server, duration);
-        }
-        fail(server, spared ? 0 : weight);
+    /** Records an attempt at a cache server that failed, or that was cancelled because it was slow. */
+    private void recordFailure(UpstreamServer server, long duration, int weight, boolean connectFailed) {
+        // Slow handshakes make the first attempts fail and must not lead to an ejection. A refused connection counts
+        // all the same, as a server that is down refuses connections.
+        boolean duringConnect = server.sentDuringConnect(duration) && !connectFailed;
+        // Set for these failures only: lost connections and unreadable answers hit all servers alike, and would hide
+        // a failing server by making the failure look common to the cluster.
+        server.lastFailureAt = context.now();
+        if (!duringConnect) {
+            narrowWindow(server, duration);
+        }
+        addFailure(server, duringConnect ? 0 : weight);
     }
 
-    /** Ejection is relative to the cluster: what befalls most caches at once tells nothing of this one. */
-    private void fail(UpstreamServer server, int weight) {
+    /**
+     * Raises a server's failure score and ejects the server once the score has reached the threshold. While most
+     * caches fail at once, or too many are ejected already, only a server that has been silent for too long is
+     * ejected.
+     */
+    private void addFailure(UpstreamServer server, int weight) {
         long now = context.now();
-        long firstEjection = UpstreamServer.firstEjection(context);
-        boolean common = cluster.strained();
-        if (common) {
-            cluster.health.forgive(
-                    now - firstEjection, UpstreamServer.HICCUP, UpstreamServer.FAILURES, cluster.fairWindow(), now);
-        }
-        server.failures += weight;
-        // Guards against counting one mishap many times: nothing is sent while it is ejected.
-        if (server.failures < UpstreamServer.FAILURES || now < server.ejectedUntil) {
+        long firstEjectionNanos = UpstreamServer.firstEjectionNanos(context);
+        boolean widespread = cluster.mostCachesFail();
+        if (widespread) {
+            cluster.health.revokeEjections(
+                    now - firstEjectionNanos,
+                    UpstreamServer.MAX_PAUSE_NANOS,
+                    UpstreamServer.EJECTION_THRESHOLD,
+                    cluster.fairWindow(),
+                    now);
+        }
+        server.failureScore += weight;
+        // No attempts are sent during an ejection, so failures that arrive now belong to attempts from before it and
+        // must not extend it.
+        if (server.failureScore < UpstreamServer.EJECTION_THRESHOLD || now < server.ejectedUntil) {
             return;
         }
-        boolean tooMany = cluster.health.ejectedPart(UpstreamServer.FAILURES) > Cluster.MOST_EJECTED;
-        if ((common || tooMany) && !server.dead()) {
-            server.failures = UpstreamServer.FAILURES - 1;
+        boolean tooManyEjected =
+                cluster.health.ejectedFraction(UpstreamServer.EJECTION_THRESHOLD) > Cluster.MAX_EJECTED_FRACTION;
+        if ((widespread || tooManyEjected) && !server.isDead()) {
+            server.failureScore = UpstreamServer.EJECTION_THRESHOLD - 1;
             return;
         }
-        long longest = MOST_EJECTION * firstEjection;
-        server.eject((long) Math.max(server.ejection, Math.min(twoRequests(), longest)), now);
-        if (!common) {
-            server.ejection = Math.min(2 * server.ejection, longest);
+        long maxEjectionNanos = MAX_EJECTION_FACTOR * firstEjectionNanos;
+        server.eject((long) Math.max(server.nextEjectionNanos, Math.min(twoRequestsNanos(), maxEjectionNanos)), now);
+        if (!widespread) {
+            server.nextEjectionNanos = Math.min(2 * server.nextEjectionNanos, maxEjectionNanos);
         }
     }
 
-    /** The time in which two requests for one cache come; just after a start nobody knows how many come. */
-    private double twoRequests() {
+    /**
+     * Returns the time in nanoseconds in which this router sends two requests to one cache on average; 0 just after a
+     * start, while the arrival rate is not known.
+     */
+    private double twoRequestsNanos() {
         Tally arrivals = traffic.arrivals;
         return arrivals.isSettled() ? 2 * Timing.SECOND * cluster.readyCaches() / arrivals.perSecond() : 0;
     }
 
-    private void shrink(UpstreamServer server, long duration) {
-        boolean common = !server.isOrigin() && cluster.strained();
-        server.shrink(duration, WINDOW_CUT, common ? cluster.fairWindow() : LEAST_WINDOW, context.now());
+    /** Narrows a server's window; while most caches fail together, not below what an even share of the load needs. */
+    private void narrowWindow(UpstreamServer server, long duration) {
+        boolean widespread = !server.isOrigin() && cluster.mostCachesFail();
+        server.narrowWindow(duration, WINDOW_CUT_FACTOR, widespread ? cluster.fairWindow() : MIN_WINDOW, context.now());
     }
 }
--- a/src/test/java/slateseam/decision/SlicesPlacementTest.java
+++ b/src/test/java/slateseam/decision/SlicesPlacementTest.java
@@ -19,7 +19,7 @@
 import slateseam.router.membership.Slice;
 import slateseam.router.net.Hash;
 
-/** Where keys go while the farm comes from slices. */
+/** Checks on which cache servers keys are placed when the member list comes from endpoint slices. */
 class SlicesPlacementTest {
     private static final int SERVERS = 100;
     private static final int KEYS = 20_000;
@@ -55,6 +55,7 @@
                 Map.of());
     }
 
+    /** Applies the current membership and returns the cache server of each key. */
     private long[] homes() {
         List<Member> members = new ArrayList<>();
         members.add(World.member(World.ORIGIN, MemberState.READY, 0));
@@ -81,15 +82,19 @@
         return IntStream.range(0, KEYS).filter(i -> before[i] != after[i]).count();
     }
 
-    /** All but a few of a large farm drain: none of the few gets what belongs to the others alone. */
+    /**
+     * If all but a few servers of a large farm drain, the keys are spread over all that remain and not over one of
+     * them.
+     */
     @Test
-    void theFewThatAreLeftOfManyShareTheKeys() {
+    void theFewServersLeftOfManyShareTheKeys() {
         int listed = 1_024;
-        int left = 16;
+        int remaining = 16;
         List<Member> members = new ArrayList<>();
         members.add(World.member(World.ORIGIN, MemberState.READY, 0));
         for (int i = 0; i < listed; i++) {
-            members.add(World.member(10 + i, i % (listed / left) == 0 ? MemberState.READY : MemberState.DRAINING, 0));
+            members.add(
+                    World.member(10 + i, i % (listed / remaining) == 0 ? MemberState.READY : MemberState.DRAINING, 0));
         }
         world.on(new MembersChanged(ListKind.FULL, members));
         Map<Long, Long> keysOf = IntStream.range(0, KEYS)
@@ -98,14 +103,15 @@
                     return world.homeOf(JumpHash.mix(key + 1));
                 })
                 .collect(Collectors.groupingBy(home -> home, Collectors.counting()));
-        assertThat(keysOf).doesNotContainKey(-1L).hasSize(left);
+        assertThat(keysOf).doesNotContainKey(-1L).hasSize(remaining);
         assertThat(Collections.max(keysOf.values()))
-                .as("keys of the one that has most")
+                .as("keys of the server with the most keys")
                 .isLessThan(KEYS / 3);
     }
 
+    /** Repacking endpoints into other slices moves no keys; removing a server moves only the keys of that server. */
     @Test
-    void keysStayWhenSlicesAreRepackedAndOnlyThoseOfAServerThatGoesMove() {
+    void repackingMovesNoKeysAndRemovalMovesOnlyKeysOfTheRemovedServer() {
         membership.listed(List.of(slice("a", 0, 50), slice("b", 50, SERVERS)), "12", 0);
         long[] before = homes();
         assertThat(before).doesNotContain(-1);
@@ -120,11 +126,12 @@
         membership.changed(slice("n0", 1, 10), version * MS);
         version += 1_000;
         long[] after = homes();
-        long gone = Hash.of(endpoint(0).targetUid().getBytes(StandardCharsets.UTF_8)) >>> 1;
-        long ofIt = IntStream.range(0, KEYS).filter(i -> before[i] == gone).count();
+        long removed = Hash.of(endpoint(0).targetUid().getBytes(StandardCharsets.UTF_8)) >>> 1;
+        long keysOfRemoved =
+                IntStream.range(0, KEYS).filter(i -> before[i] == removed).count();
         assertThat(moved(before, after))
-                .as("one of a hundred gone")
-                .isEqualTo(ofIt)
+                .as("one of a hundred servers removed")
+                .isEqualTo(keysOfRemoved)
                 .isBetween(100L, 400L);
     }
 }
