--- a/src/main/java/slateseam/decision/Brain.java
+++ b/src/main/java/slateseam/decision/Brain.java
@@ -29,27 +29,33 @@
 import slateseam.decision.Api.TimerFired;
 
 /**
- * Every decision of one router; its interface (settings, events, actions) is {@link Api}. Not thread-safe.
- * The same settings, seed and events give the same actions.
+ * The entry point of the decision module: takes the events of one router and answers each with actions. The
+ * types of settings, events and actions are declared in {@link Api}. The class is deterministic: the same
+ * settings, seed and sequence of events give the same actions. It is not thread-safe.
  *
- * <p>Here is the path of each request, from its arrival to its one final answer: which server it is sent to,
- * whether it is tried again, whether it is refused. What that rests on is kept by {@link Cluster},
- * {@link OutlierDetection}, {@link HotKeys}, {@link SharedBudgets}, {@link OriginRate},
- * {@link AdmissionControl} and {@link RequestTable}.
+ * <p>This class implements the request path, from the arrival of a request to its single final answer: it
+ * selects the server of each attempt, and decides whether a request is retried and whether it is refused. The
+ * state on which these decisions depend is held by {@link Cluster}, {@link OutlierDetection},
+ * {@link HotKeys}, {@link SharedBudgets}, {@link OriginRate}, {@link AdmissionControl} and
+ * {@link RequestTable}.
  */
 public final class Brain {
+    /** The tag of the timer that starts each round of housekeeping. */
     private static final int TICK_TAG = 1;
-    /** Of a server's window: what work beyond tenants' shares may use. */
+    /** The fraction of a server's window that requests beyond their tenant's share may use. */
     private static final double OVER_SHARE_WINDOW = 0.5;
-    /** Part of its time after which a safe request moves on. */
+    /** The largest fraction of a request's remaining time that an attempt may take before it is retried. */
     private static final double PATIENCE = 0.8;
-    /** Of the usual answer time: what another attempt needs. */
+    /** The time to reserve for one more attempt, as a multiple of the usual answer time. */
     private static final double ANOTHER = 1.2;
-    /** Of the usual answer time: from there on an answer is late. */
+    /** An attempt is late after this multiple of the usual answer time; shorter time-outs are not set. */
     private static final double LATE = 2.5;
-    /** Requests that look for room again when an attempt has ended. */
+    /**
+     * How many requests that wait for room at a cache server are routed again each time an attempt has ended
+     * or housekeeping runs.
+     */
     private static final int RETRIES_FOR_ROOM = 2;
-    /** Of an attempt that came whole to no server. */
+    /** Outcomes of attempts of which no server received the complete request. */
     private static final Set<Outcome> NOT_SENT = Set.of(Outcome.CONNECT_FAILED, Outcome.UNSENT, Outcome.MOOT);
 
     private final DecisionContext context;
@@ -63,12 +69,17 @@
     private final DiscoverySubscription discovery;
     private final RequestTable requests = new RequestTable();
 
-    /** Creates the router's instance, which exchanges supply with its ring neighbours alone. */
+    /** Creates an instance that exchanges supply with its ring neighbours only. */
     public Brain(Settings settings, long seed) {
         this(settings, seed, SupplyLinks.OFF);
     }
 
-    /** Creates the router's instance. */
+    /**
+     * Creates an instance that exchanges supply with its ring neighbours and over further links.
+     *
+     * @param seed the seed of all random choices of the instance
+     * @param links the links to routers beyond the ring neighbours
+     */
     public Brain(Settings settings, long seed, SupplyLinks links) {
         context = new DecisionContext(settings, seed);
         cluster = new Cluster(context, traffic);
@@ -80,12 +91,17 @@
         discovery = new DiscoverySubscription(context);
     }
 
-    /** What this router holds of the origin's budget. */
+    /** Returns this router's part of the origin's budget. */
     public Holding holding() {
         return budgets.holding();
     }
 
-    /** Takes an event and hands the actions that answer it to {@code actions}, in their order. */
+    /**
+     * Handles one event.
+     *
+     * @param clockNanos the time of the event on the module's clock
+     * @param actions receives the resulting actions in the order in which they are to be carried out
+     */
     public void handle(long clockNanos, Event event, Consumer<Action> actions) {
         context.begin(clockNanos, actions);
         if (event instanceof RequestArrived e) {
@@ -113,7 +129,7 @@
         }
     }
 
-    /** How many listed cache servers get nothing now: they drain, or are ejected. */
+    /** Returns how many listed cache servers get no requests at present because they drain or are ejected. */
     public int avoided() {
         return cluster.avoided();
     }
@@ -176,7 +192,7 @@
         Job job = jobOf(event, listed ? budgets.useShare(event.tenant()) : ShareUse.BEYOND);
         requests.add(job);
         boolean shed = admission.sheds(job.overShare);
-        // Guards against a try with so little time left that the next housekeeping comes too late.
+        // Answered at once: with so little time left, the next housekeeping would come after the deadline.
         if (job.giveUpAt <= context.now()) {
             decline(job);
         } else if (shed) {
@@ -194,12 +210,19 @@
         long last = event.ttlNanos() - margin;
         long useful = type.lateShare() > 0 ? last : Math.min(last, type.aimNanos());
         Job job = new Job(event, type, settings.limits().attempts(), now, now + useful, share);
-        // Guards against holding work for which nothing was done until its client could go nowhere else.
+        // A request that reached no server by half of its time is declined, so that its client still has time
+        // to turn to another router.
         job.dueAt = Math.min(job.giveUpAt, now + event.ttlNanos() / 2 - margin);
         return job;
     }
 
-    /** Sends a request to its key's cache server, other than {@code not}, or where else it may go. */
+    /**
+     * Sends a request to the cache server of its key, or to the key's next cache server if the first has no
+     * room and the request is within its tenant's share. Where routers fetch from the origin, writes, and
+     * requests for which no cache server is usable, go there. All others are handled by {@link #overflow}.
+     *
+     * @param not a server that must not be chosen because an attempt there has just ended, or null
+     */
     private void route(Job job, UpstreamServer not) {
         boolean aside = cluster.origin() != null;
         long key = placementKey(job);
@@ -217,7 +240,10 @@
         }
     }
 
-    /** By which a request finds its cache server: its key or a copy of it; without one, its number. */
+    /**
+     * Returns the hash that selects the cache server of a request: its key, or one of the key's replicas if
+     * the key is hot. A request without a key is placed by its number.
+     */
     private long placementKey(Job job) {
         long key = job.asked.key();
         if (key == 0) {
@@ -232,8 +258,12 @@
     }
 
     /**
-     * Work within its share that the caches cannot take counts as a miss while supply is left over. At a
-     * start, or where most caches fail together, the rest waits for room.
+     * Handles a request that no cache server has room for. Within its tenant's share it is fetched from the
+     * origin like a miss, as long as there is supply that no other request waits for. Otherwise it waits for
+     * room at a cache server, or is declined.
+     *
+     * @param patient whether room is expected soon: after a start, or while most caches fail together, no
+     *     cache server is full for good
      */
     private void overflow(Job job, boolean patient) {
         countOriginDemand(job);
@@ -248,7 +278,7 @@
         }
     }
 
-    /** Guards against a request that counts as several, each time it misses or looks for room again. */
+    /** Counts a request once as demand for the origin, however often it misses or is routed again. */
     private void countOriginDemand(Job job) {
         if (!job.countedAsDemand) {
             budgets.countOriginDemand(job.demandWithinShare);
@@ -256,12 +286,16 @@
         }
     }
 
-    /** Guards against bursts of more connections than the origin admits: it has a window too. */
+    /**
+     * Takes the supply of one fetch, if there is some and the origin's window has room. The window keeps
+     * bursts from opening more connections than the origin admits.
+     */
     private boolean takeSupply(Job job) {
         boolean room = cluster.origin().hasRoom(1, traffic.answerTime(), context.now());
         return room && originRate.take(job.overShare);
     }
 
+    /** Begins an attempt; declines the request if no time or attempt is left or it must not be repeated. */
     private void send(Job job, UpstreamServer to) {
         long now = context.now();
         boolean spent = job.mayHaveRun && !job.repeatable(now);
@@ -275,17 +309,25 @@
         context.emit(new Send(job.asked.request(), to.id(), attemptTimeout(job, to), job.sentBy()));
     }
 
-    /** After how long a request moves on; 0 if it does not. */
+    /**
+     * Returns the time-out of an attempt in nanoseconds, after which the request is retried elsewhere; 0 if
+     * the attempt may last until the request's deadline. Only attempts of safe, non-streamed requests at
+     * cache servers get a time-out, and only if it leaves time for another attempt.
+     */
     private long attemptTimeout(Job job, UpstreamServer to) {
         boolean movable = !to.isOrigin() && job.type.effect() == Effect.PURE && !job.type.stream();
         double answerTime = traffic.answerTime();
         long left = job.giveUpAt - context.now();
-        // Guards against moving on too early, or too late for another answer.
+        // Bounded on both sides: an early time-out drops answers that are on their way, and after a late one
+        // another attempt cannot be answered in time.
         double most = left - ANOTHER * answerTime;
         return movable && most > LATE * answerTime ? (long) Math.min(most, left * PATIENCE) : 0;
     }
 
-    /** A miss or a write: joins a fetch of its key that is out, else pays from supply, else waits for it. */
+    /**
+     * Handles a miss or a write, which needs the origin. A read joins the fetch of its key if one is in
+     * progress; any other request is sent to the origin as soon as there is supply for it.
+     */
     private void fetch(Job job) {
         countOriginDemand(job);
         long key = job.asked.key();
@@ -305,7 +347,7 @@
     }
 
     private void awaitSupply(Job job) {
-        // Guards against one that waits for supply, and takes some, though it has no attempt left.
+        // A request without an attempt left must not wait for supply and use it up.
         if (job.mayTry(1)) {
             requests.awaitSupply(job);
         } else {
@@ -314,7 +356,10 @@
         release();
     }
 
-    /** Sends to the origin what waits for supply, as far as there is some. */
+    /**
+     * Sends requests that wait for supply to the origin, until the supply is used up. Declines requests that
+     * have less time left than a fetch takes at present.
+     */
     private void release() {
         for (Job job; (job = requests.firstAwaitingSupply()) != null; ) {
             long left = job.giveUpAt - context.now();
@@ -347,7 +392,7 @@
         admitAwaitingRoom();
     }
 
-    /** Two at most, as one attempt has ended: each looks for room again. */
+    /** Routes the first requests that wait for room at a cache server again; an ended attempt frees room. */
     private void admitAwaitingRoom() {
         for (int i = 0; i < RETRIES_FOR_ROOM; i++) {
             Job job = requests.pollAwaitingRoom();
@@ -357,7 +402,7 @@
         }
     }
 
-    /** What follows for a request from how its attempt ended. */
+    /** Finishes, declines or retries a request according to the outcome of its attempt. */
     private void next(Job job, AttemptEnded event, UpstreamServer server) {
         Outcome outcome = event.outcome();
         boolean aside = context.settings().mode() == CacheMode.ASIDE;
@@ -371,10 +416,10 @@
         } else if (server != null && server.isOrigin()) {
             awaitSupply(job);
         } else if (outcome != Outcome.MISS && aside && !job.mayTry(2)) {
-            // Another cache would miss, and then there is no attempt left for the origin.
+            // The last attempt is for the origin: another cache server would miss and leave no attempt.
             fetch(job);
         } else if (outcome.isMishap()) {
-            // Any member may spoil an answer or lose a connection: the key is still where it was.
+            // Any server may garble an answer or lose a connection; the key is still stored there.
             route(job, null);
         } else if (outcome != Outcome.MISS || !aside) {
             route(job, server);
@@ -385,7 +430,10 @@
         }
     }
 
-    /** The final answer of a request that is not served: refused where the rules allow, else failed. */
+    /**
+     * Gives a request that cannot be served its final answer: a refusal if repeating the request is harmless,
+     * else a failure.
+     */
     private void decline(Job job) {
         var limits = context.settings().limits();
         long retryAfter = limits.retryAfter() ? limits.maxRetryAfterNanos() : 0;
@@ -396,8 +444,10 @@
         finish(job);
     }
 
+    /** Cancels the attempt in progress, if there is one and the site permits it. */
     private void cancel(Job job) {
-        // Guards against caches that run empty while the origin takes longer than requests have time.
+        // A fetch that fills a cache is completed while many fetches are given up: otherwise the caches run
+        // empty as long as the origin takes longer than the requests have time.
         boolean fills = job.followers != null && originRate.isFutile();
         if (job.open && !fills && context.settings().limits().cancel()) {
             context.emit(new Cancel(job.asked.request(), job.attempts - 1));
@@ -412,7 +462,7 @@
         }
     }
 
-    /** Nothing more is owed: the answer has begun. */
+    /** Finishes a streamed request: its answer has begun, and it needs no further decision. */
     private void streamEstablished(StreamEstablished event) {
         Job job = requests.get(event.request());
         if (job != null) {
@@ -424,7 +474,9 @@
         requests.finish(job, context.now());
     }
 
-    /** Declines what is to be given up, or has come to no server until now. */
+    /**
+     * Declines due requests whose time is over, and those that have reached no server by half of their time.
+     */
     private void lookAtDueRequests() {
         long now = context.now();
         for (Job job; (job = requests.pollDue(now)) != null; ) {
--- a/src/main/java/slateseam/decision/DecisionContext.java
+++ b/src/main/java/slateseam/decision/DecisionContext.java
@@ -7,11 +7,11 @@
 import slateseam.decision.Api.Settings;
 
 /**
- * What the concerns of one instance share: the settings in force, the time of the event that is handled, the random
- * numbers and the sink of actions. Times are in nanoseconds.
+ * The state that all classes of one instance share: the settings in force, the time of the current event, the random
+ * number generator and the receiver of actions. Times are in nanoseconds.
  */
 final class DecisionContext {
-    /** Drawn from by all concerns, so that the same seed and events give the same actions. */
+    /** The only source of randomness, so that the same seed and events give the same actions. */
     final SplittableRandom random;
 
     private final long salt;
@@ -26,13 +26,13 @@
         retune(settings);
     }
 
-    /** An event is handled from now on. */
+    /** Sets the time and the receiver of actions for the event that is handled next. */
     void begin(long clockNanos, Consumer<Action> sink) {
         now = clockNanos;
         actions = sink;
     }
 
-    /** What comes from now on comes with these; requests keep what they came with. */
+    /** Puts new settings in force. Open requests keep the class and the limits with which they arrived. */
     void retune(Settings changed) {
         settings = changed;
         shortestAim = changed.classes().stream()
@@ -45,22 +45,22 @@
         return settings;
     }
 
-    /** The time of the event that is handled. */
+    /** Returns the time of the event that is being handled. */
     long now() {
         return now;
     }
 
-    /** The shortest time in which an answer of any class is useful in full. */
+    /** Returns the shortest {@link RequestClass#aimNanos} of all classes; 1 s if there are no classes. */
     long shortestAim() {
         return shortestAim;
     }
 
-    /** Between two rounds of housekeeping. */
+    /** Returns the period between two rounds of housekeeping. */
     long housekeepingPeriod() {
         return Math.max(Timing.TICK, settings.tickNanos());
     }
 
-    /** A number in [0, 1) of this instance and the argument alone. */
+    /** Returns a number in [0, 1) that depends only on the instance's seed and the argument. */
     double unitOf(long id) {
         return JumpHash.unit(JumpHash.mix(id ^ salt));
     }
--- a/src/main/java/slateseam/decision/Job.java
+++ b/src/main/java/slateseam/decision/Job.java
@@ -10,36 +10,50 @@
 import slateseam.decision.Api.RequestClass;
 import slateseam.decision.Api.Send;
 
-/** The state of a request that is owed its final answer; {@link Brain} alone reads and changes it. */
+/**
+ * The state of a request from its arrival to its final answer. {@link Brain} and {@link RequestTable} change it. All
+ * times are in nanoseconds on the module's clock.
+ */
 final class Job {
+    /** The event with which the request arrived. */
     final RequestArrived asked;
+
     final RequestClass type;
-    /** How often it may be tried in all. */
+    /** The maximum number of attempts, the first included. */
     final int most;
 
     final long arrivedAt;
+    /** The time at which the request is declined if it has no answer by then. */
     final long giveUpAt;
-    /** Whether it comes after all work within tenants' shares. */
+    /** Whether the request is handled after all requests that are within their tenant's share. */
     boolean overShare;
-    /** Whether its demand for the origin counts as demand within shares. */
+    /** Whether a fetch for the request counts as demand within tenants' shares. */
     final boolean demandWithinShare;
 
+    /** The number of attempts begun so far. */
     int attempts;
+    /** Whether an attempt is in progress. */
     boolean open;
-    /** Whether it has been let wait for room at a cache. */
+    /** Whether the request may wait for room at a cache server; once allowed, it stays so. */
     boolean waited;
-    /** Whether it has been counted as demand for the origin. */
+    /** Whether the request has been counted as demand for the origin, which happens once. */
     boolean countedAsDemand;
 
+    /** Whether an ended attempt may have taken effect at a server. */
     boolean mayHaveRun;
-    /** Whether an attempt has come to a member. */
+    /** Whether the request has been sent completely to a server at least once. */
     boolean reached;
-    /** When it is looked at: whether anything was done for it yet; at {@link #giveUpAt} at the latest. */
+    /**
+     * The time of the next check. The first check declines a request that has reached no server; the last is at
+     * {@link #giveUpAt}.
+     */
     long dueAt;
 
+    /** Whether the request has its final answer, or needs none any more. */
     boolean done;
+    /** The time at which a delayed request is routed again. */
     long wakeAt;
-    /** Misses of the same key that wait for this one's fetch; null unless it leads one. */
+    /** Requests that wait for this request's fetch of the same key; null if this request leads no fetch. */
     List<Job> followers;
 
     Job(RequestArrived asked, RequestClass type, int most, long arrivedAt, long giveUpAt, ShareUse share) {
@@ -52,38 +66,41 @@
         this.demandWithinShare = share == ShareUse.WITHIN;
     }
 
-    /** Whether this is the attempt that is out; they are numbered from 0. */
+    /** Returns whether the attempt of this number, counted from 0, is the one in progress. */
     boolean awaits(int attempt) {
         return open && attempt == attempts - 1;
     }
 
-    /** Whether it may be tried so many times more. */
+    /** Returns whether so many further attempts are permitted. */
     boolean mayTry(int times) {
         return attempts + times <= most;
     }
 
-    /** Whether it may be sent once more though an attempt of it may have run. */
+    /** Returns whether the request may be sent again although an earlier attempt may have taken effect. */
     boolean repeatable(long now) {
         return repeatsAreHarmless() && (type.effect() == Effect.PURE || now - arrivedAt < type.windowNanos());
     }
 
-    /** When an attempt that begins now must have been sent; a first one may be sent at any time. */
+    /**
+     * Returns the time by which an attempt that begins now must have been sent completely. A repeat of a keyed write is
+     * bound to the window in which servers drop repeats; a first attempt may be sent at any time.
+     */
     long sentBy() {
         boolean bound = mayHaveRun && type.effect() == Effect.TOKEN;
         return bound ? arrivedAt + type.windowNanos() : Send.ANY_TIME;
     }
 
-    /** Whether running it twice changes nothing, or every member drops the repeat for a while. */
+    /** Returns whether a repeat has no effect: the request is safe, or every member drops repeats of it for a while. */
     boolean repeatsAreHarmless() {
         return type.effect() == Effect.PURE || type.effect() == Effect.TOKEN && type.group() == Group.ALL;
     }
 
-    /** This order; where it is the same, by number. */
+    /** Returns the ascending order of the given value; equal requests are ordered by their number. */
     static Comparator<Job> order(ToLongFunction<Job> by) {
         return Comparator.comparingLong(by).thenComparingLong(j -> j.asked.request());
     }
 
-    /** A queue in this order. */
+    /** Returns an empty queue with the order of {@link #order}. */
     static PriorityQueue<Job> queue(ToLongFunction<Job> by) {
         return new PriorityQueue<>(order(by));
     }
--- a/src/main/java/slateseam/decision/RequestTable.java
+++ b/src/main/java/slateseam/decision/RequestTable.java
@@ -7,45 +7,54 @@
 import java.util.PriorityQueue;
 import java.util.TreeSet;
 
-/** The requests that are owed an answer, and the queues in which they wait. */
+/** The requests that have not been given their final answer, and the queues in which they wait. */
 final class RequestTable {
+    /**
+     * Added to the sort key of requests beyond their tenant's share, in nanoseconds; larger than any difference in
+     * arrival times, so that these requests sort after all others.
+     */
     private static final long BEHIND_ALL = 3600 * Timing.SECOND;
+    /** All open requests by their number. */
     private final Map<Long, Job> jobs = new HashMap<>();
-    /** Open requests alone. */
+    /** Open requests in the order in which they are to be checked; finished requests are removed at once. */
     private final TreeSet<Job> byDueTime = new TreeSet<>(Job.order(job -> job.dueAt));
 
+    /** Requests that are routed again at a later time; may contain finished requests. */
     private final PriorityQueue<Job> delayed = Job.queue(job -> job.wakeAt);
-    /** Waiting for supply: work within shares first, then the latest, as it has time left for its aim. */
+    /**
+     * Requests that wait for supply. Requests within their tenant's share come first, and among them the one that
+     * arrived last, because it has the most time left to meet its aim. May contain finished requests.
+     */
     private final PriorityQueue<Job> awaitingSupply =
             Job.queue(job -> (job.overShare ? BEHIND_ALL : 0) - job.arrivedAt);
-    /** Waiting for room at a cache server, in the same order. */
+    /** Requests that wait for room at a cache server, last arrival first; may contain finished requests. */
     private final PriorityQueue<Job> awaitingRoom = Job.queue(job -> -job.arrivedAt);
-    /** By key the request that fetches it for others too. */
+    /** For each key that is being fetched, the request whose fetch other requests may wait for. */
     private final Map<Long, Job> fetches = new HashMap<>();
 
-    /** Takes a new request, to be looked at when it is due. */
+    /** Adds a new request, which is checked when it is due. */
     void add(Job job) {
         jobs.put(job.asked.request(), job);
         byDueTime.add(job);
     }
 
-    /** An open request; null if it has its answer. */
+    /** Returns an open request by its number; null if the request is unknown or has its final answer. */
     Job get(long request) {
         return jobs.get(request);
     }
 
-    /** Takes a request out that is due; null if none is. */
+    /** Removes and returns a request that is due at {@code now}; null if there is none. */
     Job pollDue(long now) {
         return !byDueTime.isEmpty() && byDueTime.first().dueAt <= now ? byDueTime.pollFirst() : null;
     }
 
-    /** Puts a request back that is to be looked at again when it is to be given up. */
+    /** Schedules the next check of a request for the time at which it must be declined. */
     void lookAgainAtGiveUp(Job job) {
         job.dueAt = job.giveUpAt;
         byDueTime.add(job);
     }
 
-    /** The request has its answer; those that waited for its fetch go on. */
+    /** Removes a request that has its final answer, and resumes the requests that waited for its fetch. */
     void finish(Job job, long now) {
         job.done = true;
         jobs.remove(job.asked.request());
@@ -57,18 +66,21 @@
         job.followers.forEach(follower -> delay(follower, now));
     }
 
-    /** Lets a request go on at a later time. */
+    /** Schedules a request to be routed again at a later time. */
     void delay(Job job, long until) {
         job.wakeAt = until;
         delayed.add(job);
     }
 
-    /** Takes a delayed request out whose time has come; null if there is none. */
+    /** Removes and returns a delayed request whose time has come; null if there is none. */
     Job pollDelayed(long now) {
         return !delayed.isEmpty() && delayed.peek().wakeAt <= now ? delayed.poll() : null;
     }
 
-    /** Makes the request the one that fetches its key, unless there is one; returns whose fetch it is. */
+    /**
+     * Returns the request whose fetch of the key is in progress. If there is none, the given request becomes the one
+     * that fetches the key for others, and is returned.
+     */
     Job joinFetch(Job job) {
         Job leader = fetches.putIfAbsent(job.asked.key(), job);
         if (leader != null) {
@@ -78,7 +90,10 @@
         return job;
     }
 
-    /** Guards against work within its share that waits for a fetch which waits behind all such work. */
+    /**
+     * Treats the request that leads a fetch as within its tenant's share, because a request within its share has joined
+     * the fetch. Otherwise the joined request would wait behind all others within their shares.
+     */
     void putAhead(Job leader) {
         boolean waits = awaitingSupply.remove(leader);
         leader.overShare = false;
@@ -87,12 +102,12 @@
         }
     }
 
-    /** Lets a request wait for supply. */
+    /** Queues a request until there is supply for it. */
     void awaitSupply(Job job) {
         awaitingSupply.add(job);
     }
 
-    /** The first that waits for supply; null if none does. */
+    /** Returns the first request in the queue for supply, without removing it; null if the queue is empty. */
     Job firstAwaitingSupply() {
         return awaitingSupply.peek();
     }
@@ -101,17 +116,20 @@
         awaitingSupply.poll();
     }
 
-    /** Lets a request wait for room at a cache server. */
+    /** Queues a request until a cache server has room for it. */
     void awaitRoom(Job job) {
         awaitingRoom.add(job);
     }
 
-    /** Takes the first out that waits for room; null if none does. */
+    /** Removes and returns the first request in the queue for room at a cache server; null if the queue is empty. */
     Job pollAwaitingRoom() {
         return awaitingRoom.poll();
     }
 
-    /** Guards the heap in a lasting shortage: what has its answer lies under what came later. */
+    /**
+     * Removes finished requests from the queues. In a lasting shortage they lie behind later arrivals, so that they are
+     * never polled and would fill the memory.
+     */
     void dropFinished() {
         for (PriorityQueue<Job> queue : List.of(awaitingSupply, awaitingRoom)) {
             queue.removeIf(job -> job.done);
--- a/src/main/java/slateseam/decision/Tally.java
+++ b/src/main/java/slateseam/decision/Tally.java
@@ -1,10 +1,13 @@
 package slateseam.decision;
 
-/** How many of something come a second, smoothed over intervals. */
+/** Estimates the rate of an event, in events per second, as a moving average over intervals. */
 final class Tally {
-    /** Intervals that are counted; from then on the stated weight is the greater by far. */
+    /** Intervals are counted up to this number; by then the given weight exceeds that of an average by far. */
     private static final int MOST = 1000;
-    /** Intervals after which it is no longer that of a start, or of one process beside another. */
+    /**
+     * The number of intervals after which the rate no longer reflects a start, or the time in which two processes of a
+     * router ran side by side.
+     */
     private static final int SETTLED = 4;
 
     private final double floor;
@@ -12,40 +15,49 @@
     private double perSecond;
     private int intervals;
 
-    /** Counts with a floor of one an interval, so that what divides by the figure is safe at no load. */
+    /**
+     * Creates an estimator with a floor of one event per interval, so that callers can divide by the rate at no load.
+     */
     Tally() {
         this(1);
     }
 
-    /** Counts with a floor of so many an interval. */
+    /** Creates an estimator that never falls below {@code floor} events per interval. */
     Tally(double floor) {
         this.floor = floor;
         this.perSecond = floor;
     }
 
-    /** Counts one. */
+    /** Counts one event. */
     void count() {
         recent++;
     }
 
-    /** How many a second; never under the floor. */
+    /** Returns the estimated rate in events per second; never below the floor. */
     double perSecond() {
         return perSecond;
     }
 
-    /** Whether any have been seen by the end of an interval; until then the figure is a guess. */
+    /** Returns whether an interval with at least one event has ended; before that, the rate is a guess. */
     boolean isKnown() {
         return intervals > 0;
     }
 
-    /** Whether it has been counted for long enough: the first intervals may have had only a part of what comes. */
+    /**
+     * Returns whether enough intervals have been counted; the first ones may have seen only a part of the usual events.
+     */
     boolean isSettled() {
         return intervals >= SETTLED;
     }
 
-    /** Ends an interval of so many seconds; what came in it weighs so much at least. */
+    /**
+     * Ends an interval and updates the rate.
+     *
+     * @param seconds the length of the interval
+     * @param weight the least weight of this interval in the moving average, from 0 to 1
+     */
     void endInterval(double seconds, double weight) {
-        // Guards a router that has just started: the first intervals in which any came count alike.
+        // After a start, the intervals since the first event have equal weights, so that the rate is accurate early.
         intervals = recent > 0 || intervals > 0 ? Math.min(MOST, intervals + 1) : 0;
         perSecond += Math.max(weight, 1.0 / Math.max(1, intervals)) * (Math.max(floor, recent) / seconds - perSecond);
         recent = 0;
--- a/src/main/java/slateseam/decision/TrafficStats.java
+++ b/src/main/java/slateseam/decision/TrafficStats.java
@@ -1,19 +1,20 @@
 package slateseam.decision;
 
-/** What this router's requests are like: how many come, and how long a cache server's answer usually takes. */
+/** Statistics of this router's traffic: the rate of arriving requests and the usual answer time of cache servers. */
 final class TrafficStats {
+    /** The weight of a new answer in the moving average of answer times. */
     private static final double ANSWER_WEIGHT = 0.05;
-    /** Requests that clients sent. */
+    /** Requests that arrived from clients. */
     final Tally arrivals = new Tally();
 
     private double answerTime;
 
-    /** A cache server has answered a request after this time. */
+    /** Records that a cache server answered a request after {@code duration} nanoseconds. */
     void answered(long duration) {
         answerTime += ANSWER_WEIGHT * (duration - answerTime);
     }
 
-    /** The usual answer time in nanoseconds; 0 before the first answer. */
+    /** Returns the moving average of cache servers' answer times in nanoseconds; 0 before the first answer. */
     double answerTime() {
         return answerTime;
     }
--- a/src/main/java/slateseam/decision/package-info.java
+++ b/src/main/java/slateseam/decision/package-info.java
@@ -1,8 +1,9 @@
 /**
- * The decision module: which server, whether to retry, what is refused, and the share of the budget that a router
- * holds.
+ * The decision module: selects the server of each attempt, decides on retries and refusals, and determines the part of
+ * the shared budgets that a router may use.
  *
- * <p>It may use nothing of this project; the module knows neither sockets nor clocks. It is used by the core, the
- * configuration (for the form of its settings), and those who host it on other wires.
+ * <p>The module depends on no other package of this project and accesses neither sockets nor clocks: time and network
+ * events are passed in. It is used by the router's core, by the configuration (for the structure of its settings), and
+ * by hosts that connect it to other protocols.
  */
 package slateseam.decision;
