--- a/src/main/java/slateseam/decision/AdmissionControl.java
+++ b/src/main/java/slateseam/decision/AdmissionControl.java
@@ -12,27 +12,27 @@
      * are admitted and the fraction above 1 of those beyond; below 1, the level is the admitted fraction of requests
      * within their share.
      */
-    private static final double ALL = 2;
+    private static final double ADMIT_ALL = 2;
 
     /** The admission level at which requests within their tenant's share are admitted and no others. */
-    private static final double ALL_WITHIN_SHARE = 1;
+    private static final double ADMIT_WITHIN_SHARE = 1;
     /** The lowest admission level. */
-    private static final double LEAST_ADMITTED = 0.3;
+    private static final double MIN_ADMITTED = 0.3;
     /** The factor by which the admission level is cut in an interval with overload. */
-    private static final double CUT = 0.8;
+    private static final double CUT_FACTOR = 0.8;
     /** The amount by which the admission level is raised in an interval without overload. */
-    private static final double GROWTH = 0.08;
+    private static final double INCREASE = 0.08;
     /** The ratio of failed attempts above which requests beyond their tenant's share are shed. */
-    private static final double OVERLOAD = 0.1;
+    private static final double OVERLOAD_RATIO = 0.1;
     /** The ratio of failed attempts above which requests within their tenant's share are shed too. */
-    private static final double COLLAPSE = 0.3;
+    private static final double COLLAPSE_RATIO = 0.3;
     /** The fraction of the counts that is carried over to the next interval. */
-    private static final double KEPT = 0.5;
+    private static final double CARRY_OVER = 0.5;
 
     private final SplittableRandom random;
-    private double tried;
-    private double bad;
-    private double admitted = ALL;
+    private double attempts;
+    private double failures;
+    private double admitted = ADMIT_ALL;
 
     AdmissionControl(SplittableRandom random) {
         this.random = random;
@@ -42,32 +42,32 @@
      * Draws at random whether a request is shed, so that in an overload the admitted requests are still served in time.
      */
     boolean sheds(boolean overShare) {
-        return random.nextDouble() >= (overShare ? admitted - ALL_WITHIN_SHARE : admitted);
+        return random.nextDouble() >= (overShare ? admitted - ADMIT_WITHIN_SHARE : admitted);
     }
 
     /**
      * Counts an attempt at a cache server.
      *
-     * @param wentWrong whether the attempt took too long or was not served
+     * @param failed whether the attempt took too long or was not served
      */
-    void attempted(boolean wentWrong) {
-        tried++;
-        if (wentWrong) {
-            bad++;
+    void attempted(boolean failed) {
+        attempts++;
+        if (failed) {
+            failures++;
         }
     }
 
     /** Adjusts the admission level to the failure ratio of the interval that ends. */
     void endInterval() {
-        double most = bad > OVERLOAD * tried + 1 ? ALL_WITHIN_SHARE : ALL;
-        if (bad > COLLAPSE * tried + 1) {
-            admitted = Math.max(LEAST_ADMITTED, admitted * CUT);
-        } else if (admitted > most) {
-            admitted = Math.max(most, admitted * CUT);
+        double ceiling = failures > OVERLOAD_RATIO * attempts + 1 ? ADMIT_WITHIN_SHARE : ADMIT_ALL;
+        if (failures > COLLAPSE_RATIO * attempts + 1) {
+            admitted = Math.max(MIN_ADMITTED, admitted * CUT_FACTOR);
+        } else if (admitted > ceiling) {
+            admitted = Math.max(ceiling, admitted * CUT_FACTOR);
         } else {
-            admitted = Math.min(most, admitted + GROWTH);
+            admitted = Math.min(ceiling, admitted + INCREASE);
         }
-        tried *= KEPT;
-        bad *= KEPT;
+        attempts *= CARRY_OVER;
+        failures *= CARRY_OVER;
     }
 }
--- a/src/main/java/slateseam/decision/Brain.java
+++ b/src/main/java/slateseam/decision/Brain.java
@@ -41,20 +41,20 @@
  */
 public final class Brain {
     /** The tag of the timer that starts each round of housekeeping. */
-    private static final int TICK_TAG = 1;
+    private static final int HOUSEKEEPING_TIMER_TAG = 1;
     /** The fraction of a server's window that requests beyond their tenant's share may use. */
-    private static final double OVER_SHARE_WINDOW = 0.5;
+    private static final double OVER_SHARE_WINDOW_FRACTION = 0.5;
     /** The largest fraction of a request's remaining time that an attempt may take before it is retried. */
-    private static final double PATIENCE = 0.8;
+    private static final double MAX_ATTEMPT_TIME_FRACTION = 0.8;
     /** The time to reserve for one more attempt, as a multiple of the usual answer time. */
-    private static final double ANOTHER = 1.2;
+    private static final double RETRY_RESERVE_FACTOR = 1.2;
     /** An attempt is late after this multiple of the usual answer time; shorter time-outs are not set. */
-    private static final double LATE = 2.5;
+    private static final double LATE_ANSWER_FACTOR = 2.5;
     /**
      * How many requests that wait for room at a cache server are routed again each time an attempt has ended
      * or housekeeping runs.
      */
-    private static final int RETRIES_FOR_ROOM = 2;
+    private static final int MAX_REROUTED_REQUESTS = 2;
     /** Outcomes of attempts of which no server received the complete request. */
     private static final Set<Outcome> NOT_SENT = Set.of(Outcome.CONNECT_FAILED, Outcome.UNSENT, Outcome.MOOT);
 
@@ -141,14 +141,14 @@
     }
 
     private void setTickTimer() {
-        context.emit(new SetTimer(TICK_TAG, context.housekeepingPeriod()));
+        context.emit(new SetTimer(HOUSEKEEPING_TIMER_TAG, context.housekeepingPeriod()));
     }
 
     private void timerFired(int tag) {
         if (tag == DiscoverySubscription.TIMER_TAG) {
             discovery.ask();
         }
-        if (tag == TICK_TAG) {
+        if (tag == HOUSEKEEPING_TIMER_TAG) {
             tick();
         }
     }
@@ -253,7 +253,7 @@
     }
 
     private boolean hasRoom(UpstreamServer server, Job job) {
-        double part = job.overShare ? OVER_SHARE_WINDOW : 1;
+        double part = job.overShare ? OVER_SHARE_WINDOW_FRACTION : 1;
         return server.hasRoom(part, traffic.answerTime(), context.now());
     }
 
@@ -320,8 +320,10 @@
         long left = job.giveUpAt - context.now();
         // Bounded on both sides: an early time-out drops answers that are on their way, and after a late one
         // another attempt cannot be answered in time.
-        double most = left - ANOTHER * answerTime;
-        return movable && most > LATE * answerTime ? (long) Math.min(most, left * PATIENCE) : 0;
+        double most = left - RETRY_RESERVE_FACTOR * answerTime;
+        return movable && most > LATE_ANSWER_FACTOR * answerTime
+                ? (long) Math.min(most, left * MAX_ATTEMPT_TIME_FRACTION)
+                : 0;
     }
 
     /**
@@ -394,7 +396,7 @@
 
     /** Routes the first requests that wait for room at a cache server again; an ended attempt frees room. */
     private void admitAwaitingRoom() {
-        for (int i = 0; i < RETRIES_FOR_ROOM; i++) {
+        for (int i = 0; i < MAX_REROUTED_REQUESTS; i++) {
             Job job = requests.pollAwaitingRoom();
             if (job != null && !job.done) {
                 route(job, null);
--- a/src/main/java/slateseam/decision/RequestTable.java
+++ b/src/main/java/slateseam/decision/RequestTable.java
@@ -13,7 +13,7 @@
      * Added to the sort key of requests beyond their tenant's share, in nanoseconds; larger than any difference in
      * arrival times, so that these requests sort after all others.
      */
-    private static final long BEHIND_ALL = 3600 * Timing.SECOND;
+    private static final long OVER_SHARE_PENALTY_NANOS = 3600 * Timing.SECOND;
     /** All open requests by their number. */
     private final Map<Long, Job> jobs = new HashMap<>();
     /** Open requests in the order in which they are to be checked; finished requests are removed at once. */
@@ -26,7 +26,7 @@
      * arrived last, because it has the most time left to meet its aim. May contain finished requests.
      */
     private final PriorityQueue<Job> awaitingSupply =
-            Job.queue(job -> (job.overShare ? BEHIND_ALL : 0) - job.arrivedAt);
+            Job.queue(job -> (job.overShare ? OVER_SHARE_PENALTY_NANOS : 0) - job.arrivedAt);
     /** Requests that wait for room at a cache server, last arrival first; may contain finished requests. */
     private final PriorityQueue<Job> awaitingRoom = Job.queue(job -> -job.arrivedAt);
     /** For each key that is being fetched, the request whose fetch other requests may wait for. */
--- a/src/main/java/slateseam/decision/Tally.java
+++ b/src/main/java/slateseam/decision/Tally.java
@@ -3,15 +3,15 @@
 /** Estimates the rate of an event, in events per second, as a moving average over intervals. */
 final class Tally {
     /** Intervals are counted up to this number; by then the given weight exceeds that of an average by far. */
-    private static final int MOST = 1000;
+    private static final int MAX_COUNTED_INTERVALS = 1000;
     /**
      * The number of intervals after which the rate no longer reflects a start, or the time in which two processes of a
      * router ran side by side.
      */
-    private static final int SETTLED = 4;
+    private static final int SETTLED_INTERVALS = 4;
 
     private final double floor;
-    private double recent;
+    private double currentCount;
     private double perSecond;
     private int intervals;
 
@@ -30,7 +30,7 @@
 
     /** Counts one event. */
     void count() {
-        recent++;
+        currentCount++;
     }
 
     /** Returns the estimated rate in events per second; never below the floor. */
@@ -47,7 +47,7 @@
      * Returns whether enough intervals have been counted; the first ones may have seen only a part of the usual events.
      */
     boolean isSettled() {
-        return intervals >= SETTLED;
+        return intervals >= SETTLED_INTERVALS;
     }
 
     /**
@@ -58,8 +58,9 @@
      */
     void endInterval(double seconds, double weight) {
         // After a start, the intervals since the first event have equal weights, so that the rate is accurate early.
-        intervals = recent > 0 || intervals > 0 ? Math.min(MOST, intervals + 1) : 0;
-        perSecond += Math.max(weight, 1.0 / Math.max(1, intervals)) * (Math.max(floor, recent) / seconds - perSecond);
-        recent = 0;
+        intervals = currentCount > 0 || intervals > 0 ? Math.min(MAX_COUNTED_INTERVALS, intervals + 1) : 0;
+        perSecond +=
+                Math.max(weight, 1.0 / Math.max(1, intervals)) * (Math.max(floor, currentCount) / seconds - perSecond);
+        currentCount = 0;
     }
 }
