--- a/src/main/java/slateseam/decision/AdmissionControl.java
+++ b/src/main/java/slateseam/decision/AdmissionControl.java
@@ -41,7 +41,7 @@
     /**
      * Draws at random whether a request is shed, so that in an overload the admitted requests are still served in time.
      */
-    boolean sheds(boolean overShare) {
+    boolean shouldShed(boolean overShare) {
         return random.nextDouble() >= (overShare ? admitted - ADMIT_WITHIN_SHARE : admitted);
     }
 
--- a/src/main/java/slateseam/decision/Api.java
+++ b/src/main/java/slateseam/decision/Api.java
@@ -230,7 +230,7 @@
         }
 
         /** Returns whether a tenant is listed. If no tenants are listed at all, every tenant counts as listed. */
-        boolean lists(int tenant) {
+        boolean isListed(int tenant) {
             return tenant < tenants.size() || tenants.isEmpty();
         }
 
--- a/src/main/java/slateseam/decision/Brain.java
+++ b/src/main/java/slateseam/decision/Brain.java
@@ -103,9 +103,9 @@
      * @param actions receives the resulting actions in the order in which they are to be carried out
      */
     public void handle(long clockNanos, Event event, Consumer<Action> actions) {
-        context.begin(clockNanos, actions);
+        context.beginEvent(clockNanos, actions);
         if (event instanceof RequestArrived e) {
-            arrived(e);
+            requestArrived(e);
         } else if (event instanceof AttemptEnded e) {
             attemptEnded(e);
         } else if (event instanceof TimerFired e) {
@@ -125,7 +125,7 @@
         } else if (event instanceof TierSeen e) {
             budgets.seen(e);
         } else if (event instanceof Retuned e) {
-            context.retune(e.settings());
+            context.applySettings(e.settings());
         }
     }
 
@@ -159,9 +159,9 @@
             endInterval();
         }
         budgets.exchange();
-        lookAtDueRequests();
+        checkDueRequests();
         resumeDelayedRequests();
-        release();
+        releaseAwaitingSupply();
         requests.dropFinished();
         admitAwaitingRoom();
         setTickTimer();
@@ -185,13 +185,13 @@
         cluster.changed(event);
     }
 
-    private void arrived(RequestArrived event) {
+    private void requestArrived(RequestArrived event) {
         traffic.arrivals.count();
         Settings settings = context.settings();
-        boolean listed = settings.lists(event.tenant());
-        Job job = jobOf(event, listed ? budgets.useShare(event.tenant()) : ShareUse.BEYOND);
+        boolean listed = settings.isListed(event.tenant());
+        Job job = createPending(event, listed ? budgets.useShare(event.tenant()) : ShareUse.BEYOND);
         requests.add(job);
-        boolean shed = admission.sheds(job.overShare);
+        boolean shed = admission.shouldShed(job.overShare);
         // Answered at once: with so little time left, the next housekeeping would come after the deadline.
         if (job.giveUpAt <= context.now()) {
             decline(job);
@@ -202,7 +202,7 @@
         }
     }
 
-    private Job jobOf(RequestArrived event, ShareUse share) {
+    private Job createPending(RequestArrived event, ShareUse share) {
         Settings settings = context.settings();
         RequestClass type = settings.classes().get(event.requestClass());
         long now = context.now();
@@ -221,17 +221,17 @@
      * room and the request is within its tenant's share. Where routers fetch from the origin, writes, and
      * requests for which no cache server is usable, go there. All others are handled by {@link #overflow}.
      *
-     * @param not a server that must not be chosen because an attempt there has just ended, or null
+     * @param excluded a server that must not be chosen because an attempt there has just ended, or null
      */
-    private void route(Job job, UpstreamServer not) {
-        boolean aside = cluster.origin() != null;
+    private void route(Job job, UpstreamServer excluded) {
+        boolean hasOrigin = cluster.origin() != null;
         long key = placementKey(job);
-        UpstreamServer home = job.asked.write() && aside ? null : cluster.home(key, not);
-        boolean spill = home != null && !hasRoom(home, job) && not == null && !job.overShare;
+        UpstreamServer home = job.asked.write() && hasOrigin ? null : cluster.home(key, excluded);
+        boolean spill = home != null && !hasRoom(home, job) && excluded == null && !job.overShare;
         if (spill) {
             home = cluster.home(key, home);
         }
-        if (home == null && aside) {
+        if (home == null && hasOrigin) {
             fetch(job);
         } else if (home != null && hasRoom(home, job)) {
             send(job, home);
@@ -253,8 +253,8 @@
     }
 
     private boolean hasRoom(UpstreamServer server, Job job) {
-        double part = job.overShare ? OVER_SHARE_WINDOW_FRACTION : 1;
-        return server.hasRoom(part, traffic.answerTime(), context.now());
+        double fraction = job.overShare ? OVER_SHARE_WINDOW_FRACTION : 1;
+        return server.hasRoom(fraction, traffic.answerTime(), context.now());
     }
 
     /**
@@ -262,16 +262,16 @@
      * origin like a miss, as long as there is supply that no other request waits for. Otherwise it waits for
      * room at a cache server, or is declined.
      *
-     * @param patient whether room is expected soon: after a start, or while most caches fail together, no
+     * @param mayWait whether room is expected soon: after a start, or while most caches fail together, no
      *     cache server is full for good
      */
-    private void overflow(Job job, boolean patient) {
+    private void overflow(Job job, boolean mayWait) {
         countOriginDemand(job);
-        job.waited |= patient && !job.overShare;
-        boolean unused = requests.firstAwaitingSupply() == null;
-        if (cluster.origin() != null && !job.overShare && unused && takeSupply(job)) {
+        job.mayAwaitRoom |= mayWait && !job.overShare;
+        boolean supplyUnclaimed = requests.firstAwaitingSupply() == null;
+        if (cluster.origin() != null && !job.overShare && supplyUnclaimed && takeSupply(job)) {
             send(job, cluster.origin());
-        } else if (job.waited) {
+        } else if (job.mayAwaitRoom) {
             requests.awaitRoom(job);
         } else {
             decline(job);
@@ -298,15 +298,15 @@
     /** Begins an attempt; declines the request if no time or attempt is left or it must not be repeated. */
     private void send(Job job, UpstreamServer to) {
         long now = context.now();
-        boolean spent = job.mayHaveRun && !job.repeatable(now);
-        if (spent || !job.mayTry(1) || job.giveUpAt <= now) {
+        boolean mustNotRepeat = job.mayHaveRun && !job.repeatable(now);
+        if (mustNotRepeat || !job.hasAttemptsLeft(1) || job.giveUpAt <= now) {
             decline(job);
             return;
         }
         job.attempts++;
-        job.open = true;
+        job.attemptInProgress = true;
         to.sent(now);
-        context.emit(new Send(job.asked.request(), to.id(), attemptTimeout(job, to), job.sentBy()));
+        context.emit(new Send(job.asked.request(), to.id(), attemptTimeout(job, to), job.sendDeadline()));
     }
 
     /**
@@ -315,14 +315,14 @@
      * cache servers get a time-out, and only if it leaves time for another attempt.
      */
     private long attemptTimeout(Job job, UpstreamServer to) {
-        boolean movable = !to.isOrigin() && job.type.effect() == Effect.PURE && !job.type.stream();
+        boolean retriable = !to.isOrigin() && job.type.effect() == Effect.PURE && !job.type.stream();
         double answerTime = traffic.answerTime();
         long left = job.giveUpAt - context.now();
         // Bounded on both sides: an early time-out drops answers that are on their way, and after a late one
         // another attempt cannot be answered in time.
-        double most = left - RETRY_RESERVE_FACTOR * answerTime;
-        return movable && most > LATE_ANSWER_FACTOR * answerTime
-                ? (long) Math.min(most, left * MAX_ATTEMPT_TIME_FRACTION)
+        double latest = left - RETRY_RESERVE_FACTOR * answerTime;
+        return retriable && latest > LATE_ANSWER_FACTOR * answerTime
+                ? (long) Math.min(latest, left * MAX_ATTEMPT_TIME_FRACTION)
                 : 0;
     }
 
@@ -336,11 +336,11 @@
         if (!job.asked.write() && key != 0) {
             hotKeys.counts.missed(key);
             Job leader = requests.joinFetch(job);
-            if (leader != job && job.mayTry(2)) {
+            if (leader != job && job.hasAttemptsLeft(2)) {
                 leader.followers.add(job);
                 if (leader.overShare && !job.overShare) {
-                    requests.putAhead(leader);
-                    release();
+                    requests.promoteToWithinShare(leader);
+                    releaseAwaitingSupply();
                 }
                 return;
             }
@@ -350,19 +350,19 @@
 
     private void awaitSupply(Job job) {
         // A request without an attempt left must not wait for supply and use it up.
-        if (job.mayTry(1)) {
+        if (job.hasAttemptsLeft(1)) {
             requests.awaitSupply(job);
         } else {
             decline(job);
         }
-        release();
+        releaseAwaitingSupply();
     }
 
     /**
      * Sends requests that wait for supply to the origin, until the supply is used up. Declines requests that
      * have less time left than a fetch takes at present.
      */
-    private void release() {
+    private void releaseAwaitingSupply() {
         for (Job job; (job = requests.firstAwaitingSupply()) != null; ) {
             long left = job.giveUpAt - context.now();
             boolean tooLate = left < originRate.fetchTimes.recent() || cluster.origin() == null;
@@ -381,15 +381,15 @@
     private void attemptEnded(AttemptEnded event) {
         UpstreamServer server = cluster.servers.get(event.member());
         Job job = requests.get(event.request());
-        boolean lateOrToldTwice = job != null && !event.concluded() && !job.awaits(event.attempt());
-        if (lateOrToldTwice) {
+        boolean staleOrDuplicate = job != null && !event.concluded() && !job.awaitsAttempt(event.attempt());
+        if (staleOrDuplicate) {
             return;
         }
         if (server != null) {
             outliers.attemptEnded(server, event, job);
         }
         if (job != null) {
-            next(job, event, server);
+            handleOutcome(job, event, server);
         }
         admitAwaitingRoom();
     }
@@ -405,19 +405,19 @@
     }
 
     /** Finishes, declines or retries a request according to the outcome of its attempt. */
-    private void next(Job job, AttemptEnded event, UpstreamServer server) {
+    private void handleOutcome(Job job, AttemptEnded event, UpstreamServer server) {
         Outcome outcome = event.outcome();
         boolean aside = context.settings().mode() == CacheMode.ASIDE;
-        job.open = false;
+        job.attemptInProgress = false;
         job.mayHaveRun |= !outcome.neverRan();
-        job.reached |= !NOT_SENT.contains(outcome);
+        job.reachedServer |= !NOT_SENT.contains(outcome);
         if (event.concluded()) {
             finish(job);
         } else if (job.mayHaveRun && !job.repeatable(context.now())) {
             decline(job);
         } else if (server != null && server.isOrigin()) {
             awaitSupply(job);
-        } else if (outcome != Outcome.MISS && aside && !job.mayTry(2)) {
+        } else if (outcome != Outcome.MISS && aside && !job.hasAttemptsLeft(2)) {
             // The last attempt is for the origin: another cache server would miss and leave no attempt.
             fetch(job);
         } else if (outcome.isMishap()) {
@@ -425,7 +425,7 @@
             route(job, null);
         } else if (outcome != Outcome.MISS || !aside) {
             route(job, server);
-        } else if (event.fetching() && job.mayTry(2)) {
+        } else if (event.fetching() && job.hasAttemptsLeft(2)) {
             requests.delay(job, context.now() + (long) originRate.fetchTimes.recent());
         } else {
             fetch(job);
@@ -439,7 +439,7 @@
     private void decline(Job job) {
         var limits = context.settings().limits();
         long retryAfter = limits.retryAfter() ? limits.maxRetryAfterNanos() : 0;
-        boolean refusable = !(job.mayHaveRun || job.open) || job.repeatsAreHarmless();
+        boolean refusable = !(job.mayHaveRun || job.attemptInProgress) || job.repeatsAreHarmless();
         cancel(job);
         long request = job.asked.request();
         context.emit(refusable ? new Refuse(request, retryAfter) : new Fail(request));
@@ -450,8 +450,10 @@
     private void cancel(Job job) {
         // A fetch that fills a cache is completed while many fetches are given up: otherwise the caches run
         // empty as long as the origin takes longer than the requests have time.
-        boolean fills = job.followers != null && originRate.isFutile();
-        if (job.open && !fills && context.settings().limits().cancel()) {
+        boolean mustFillCache = job.followers != null && originRate.isFutile();
+        if (job.attemptInProgress
+                && !mustFillCache
+                && context.settings().limits().cancel()) {
             context.emit(new Cancel(job.asked.request(), job.attempts - 1));
         }
     }
@@ -479,13 +481,13 @@
     /**
      * Declines due requests whose time is over, and those that have reached no server by half of their time.
      */
-    private void lookAtDueRequests() {
+    private void checkDueRequests() {
         long now = context.now();
         for (Job job; (job = requests.pollDue(now)) != null; ) {
-            if (job.giveUpAt <= now || !job.open && !job.reached) {
+            if (job.giveUpAt <= now || !job.attemptInProgress && !job.reachedServer) {
                 decline(job);
             } else {
-                requests.lookAgainAtGiveUp(job);
+                requests.recheckAtGiveUp(job);
             }
         }
     }
--- a/src/main/java/slateseam/decision/DecisionContext.java
+++ b/src/main/java/slateseam/decision/DecisionContext.java
@@ -23,17 +23,17 @@
     DecisionContext(Settings settings, long seed) {
         random = new SplittableRandom(seed);
         salt = JumpHash.mix(seed);
-        retune(settings);
+        applySettings(settings);
     }
 
     /** Sets the time and the receiver of actions for the event that is handled next. */
-    void begin(long clockNanos, Consumer<Action> sink) {
+    void beginEvent(long clockNanos, Consumer<Action> sink) {
         now = clockNanos;
         actions = sink;
     }
 
     /** Puts new settings in force. Open requests keep the class and the limits with which they arrived. */
-    void retune(Settings changed) {
+    void applySettings(Settings changed) {
         settings = changed;
         shortestAim = changed.classes().stream()
                 .mapToLong(RequestClass::aimNanos)
--- a/src/main/java/slateseam/decision/Job.java
+++ b/src/main/java/slateseam/decision/Job.java
@@ -20,7 +20,7 @@
 
     final RequestClass type;
     /** The maximum number of attempts, the first included. */
-    final int most;
+    final int maxAttempts;
 
     final long arrivedAt;
     /** The time at which the request is declined if it has no answer by then. */
@@ -33,16 +33,16 @@
     /** The number of attempts begun so far. */
     int attempts;
     /** Whether an attempt is in progress. */
-    boolean open;
+    boolean attemptInProgress;
     /** Whether the request may wait for room at a cache server; once allowed, it stays so. */
-    boolean waited;
+    boolean mayAwaitRoom;
     /** Whether the request has been counted as demand for the origin, which happens once. */
     boolean countedAsDemand;
 
     /** Whether an ended attempt may have taken effect at a server. */
     boolean mayHaveRun;
     /** Whether the request has been sent completely to a server at least once. */
-    boolean reached;
+    boolean reachedServer;
     /**
      * The time of the next check. The first check declines a request that has reached no server; the last is at
      * {@link #giveUpAt}.
@@ -52,14 +52,14 @@
     /** Whether the request has its final answer, or needs none any more. */
     boolean done;
     /** The time at which a delayed request is routed again. */
-    long wakeAt;
+    long resumeAt;
     /** Requests that wait for this request's fetch of the same key; null if this request leads no fetch. */
     List<Job> followers;
 
-    Job(RequestArrived asked, RequestClass type, int most, long arrivedAt, long giveUpAt, ShareUse share) {
+    Job(RequestArrived asked, RequestClass type, int maxAttempts, long arrivedAt, long giveUpAt, ShareUse share) {
         this.asked = asked;
         this.type = type;
-        this.most = most;
+        this.maxAttempts = maxAttempts;
         this.arrivedAt = arrivedAt;
         this.giveUpAt = giveUpAt;
         this.overShare = share == ShareUse.BEYOND;
@@ -67,13 +67,13 @@
     }
 
     /** Returns whether the attempt of this number, counted from 0, is the one in progress. */
-    boolean awaits(int attempt) {
-        return open && attempt == attempts - 1;
+    boolean awaitsAttempt(int attempt) {
+        return attemptInProgress && attempt == attempts - 1;
     }
 
     /** Returns whether so many further attempts are permitted. */
-    boolean mayTry(int times) {
-        return attempts + times <= most;
+    boolean hasAttemptsLeft(int times) {
+        return attempts + times <= maxAttempts;
     }
 
     /** Returns whether the request may be sent again although an earlier attempt may have taken effect. */
@@ -85,7 +85,7 @@
      * Returns the time by which an attempt that begins now must have been sent completely. A repeat of a keyed write is
      * bound to the window in which servers drop repeats; a first attempt may be sent at any time.
      */
-    long sentBy() {
+    long sendDeadline() {
         boolean bound = mayHaveRun && type.effect() == Effect.TOKEN;
         return bound ? arrivedAt + type.windowNanos() : Send.ANY_TIME;
     }
--- a/src/main/java/slateseam/decision/RequestTable.java
+++ b/src/main/java/slateseam/decision/RequestTable.java
@@ -20,7 +20,7 @@
     private final TreeSet<Job> byDueTime = new TreeSet<>(Job.order(job -> job.dueAt));
 
     /** Requests that are routed again at a later time; may contain finished requests. */
-    private final PriorityQueue<Job> delayed = Job.queue(job -> job.wakeAt);
+    private final PriorityQueue<Job> delayed = Job.queue(job -> job.resumeAt);
     /**
      * Requests that wait for supply. Requests within their tenant's share come first, and among them the one that
      * arrived last, because it has the most time left to meet its aim. May contain finished requests.
@@ -49,7 +49,7 @@
     }
 
     /** Schedules the next check of a request for the time at which it must be declined. */
-    void lookAgainAtGiveUp(Job job) {
+    void recheckAtGiveUp(Job job) {
         job.dueAt = job.giveUpAt;
         byDueTime.add(job);
     }
@@ -68,13 +68,13 @@
 
     /** Schedules a request to be routed again at a later time. */
     void delay(Job job, long until) {
-        job.wakeAt = until;
+        job.resumeAt = until;
         delayed.add(job);
     }
 
     /** Removes and returns a delayed request whose time has come; null if there is none. */
     Job pollDelayed(long now) {
-        return !delayed.isEmpty() && delayed.peek().wakeAt <= now ? delayed.poll() : null;
+        return !delayed.isEmpty() && delayed.peek().resumeAt <= now ? delayed.poll() : null;
     }
 
     /**
@@ -94,7 +94,7 @@
      * Treats the request that leads a fetch as within its tenant's share, because a request within its share has joined
      * the fetch. Otherwise the joined request would wait behind all others within their shares.
      */
-    void putAhead(Job leader) {
+    void promoteToWithinShare(Job leader) {
         boolean waits = awaitingSupply.remove(leader);
         leader.overShare = false;
         if (waits) {
--- a/src/test/java/slateseam/simulate/PlantedBug.java
+++ b/src/test/java/slateseam/simulate/PlantedBug.java
@@ -67,7 +67,10 @@
                         "answers -BUSY after one that may have run",
                         null,
                         null,
-                        List.of(change(BRAIN, "!(job.mayHaveRun || job.open) || job.repeatsAreHarmless()", "true"))),
+                        List.of(change(
+                                BRAIN,
+                                "!(job.mayHaveRun || job.attemptInProgress) || job.repeatsAreHarmless()",
+                                "true"))),
                 new PlantedBug(
                         "writes a pass that was given up while it waited for its connection",
                         null,
@@ -145,7 +148,7 @@
                                         ROUTER + "core/Core",
                                         "left <= 0 || attempt >= slot.request.version().settings().limits().attempts()",
                                         "left <= 0"),
-                                change(JOB, "return attempts + times <= most;", "return true;"))),
+                                change(JOB, "return attempts + times <= maxAttempts;", "return true;"))),
                 new PlantedBug(
                         "loses its place where a message is split",
                         null,
--- a/src/test/java/slateseam/simulate/RulesModelTest.java
+++ b/src/test/java/slateseam/simulate/RulesModelTest.java
@@ -49,7 +49,9 @@
                                 "boolean bound = mayHaveRun && type.effect() == Effect.TOKEN;",
                                 "boolean bound = false;")),
                 known("RESEND ONCE", "sends a once-write again that may have run"),
-                bug("TWO_AT_ONCE", change("decision/Job", "return open && attempt == attempts - 1;", "return true;")),
+                bug(
+                        "TWO_AT_ONCE",
+                        change("decision/Job", "return attemptInProgress && attempt == attempts - 1;", "return true;")),
                 bug(
                         "ATTEMPTS",
                         change(
@@ -58,8 +60,8 @@
                                 "left <= 0 || attempt > 4"),
                         change(
                                 "decision/Job",
-                                "return attempts + times <= most;",
-                                "return attempts + times <= most + 1;")),
+                                "return attempts + times <= maxAttempts;",
+                                "return attempts + times <= maxAttempts + 1;")),
                 bug(
                         "AFTER_ANSWER",
                         change(
@@ -68,7 +70,7 @@
                                 "            pass.isLast = true;\n            if (false) {"),
                         change(
                                 "decision/Brain",
-                                "if (job.open && !fills && context.settings().limits().cancel())",
+                                "if (job.attemptInProgress && !mustFillCache && context.settings().limits().cancel())",
                                 "if (false)")),
                 known("DRAIN", "sends to a draining server"),
                 known("FALLEN", "ignores a cold server's budget"),
@@ -78,14 +80,14 @@
                         "KEPT REPEATABLE",
                         change(
                                 "decision/Brain",
-                                "if (job.mayTry(1)) {\n            requests.awaitSupply(job);\n        } else {\n            decline(job);\n        }",
+                                "if (job.hasAttemptsLeft(1)) {\n            requests.awaitSupply(job);\n        } else {\n            decline(job);\n        }",
                                 "requests.awaitSupply(job);")),
                 bug(
                         "KEPT ONCE",
                         change(
                                 "decision/Brain",
                                 "else if (job.mayHaveRun && !job.repeatable(context.now())) {\n            decline(job);",
-                                "else if (job.mayHaveRun && !job.repeatable(context.now())) {\n            job.reached = true;")));
+                                "else if (job.mayHaveRun && !job.repeatable(context.now())) {\n            job.reachedServer = true;")));
     }
 
     private static PlantedBug bug(String rule, Change... changes) {
