--- a/src/test/java/slateseam/decision/BoundsTest.java
+++ b/src/test/java/slateseam/decision/BoundsTest.java
@@ -12,7 +12,7 @@
 import slateseam.Census;
 import slateseam.decision.Api.*;
 
-/** What the module holds stays within bounds, whatever comes and for however long. */
+/** The module's state stays within bounds, whatever events arrive and for however long. */
 class BoundsTest {
     private static final String MODULE = "slateseam.decision";
 
@@ -20,7 +20,10 @@
         return ((Collection<?>) SupplyTest.field(w.brain, path)).size();
     }
 
-    /** Guards the heap: what waits for supply lies under what came later, and stayed there after its answer. */
+    /**
+     * Guards against a memory leak: in a lasting shortage, finished requests lie behind later arrivals in the queue for
+     * supply and were never removed.
+     */
     @Test
     void aLastingShortageOfSupplyHoldsOnlyWhatIsStillOwed() {
         World w = World.single();
@@ -46,7 +49,10 @@
                 .isEmpty();
     }
 
-    /** Guards housekeeping on a busy router: what was served at once stayed in the order of deadlines for half its time. */
+    /**
+     * Guards against slow housekeeping on a busy router: requests that were served at once stayed in the table of due
+     * times until half of their time was over.
+     */
     @Test
     void whatHasItsAnswerLeavesEveryQueueAtOnce() {
         World w = World.single();
@@ -57,7 +63,10 @@
         assertThat(Census.of(SupplyTest.field(w.brain, "requests"), MODULE)).isEmpty();
     }
 
-    /** Demand that goes round the ring takes supply with it, and the ledgers' totals pass the end of their numbers. */
+    /**
+     * Demand that moves round the ring moves supply along with it. The total of a ledger then grows until its integer
+     * overflows, which must not lose any supply.
+     */
     @Test
     void supplyThatGoesRoundTheRingIsNeverUsedUp() {
         Ring ring = new Ring(3, 4, 0, 0);
@@ -72,10 +81,12 @@
             passed += flow - before;
             before = flow;
             assertThat(ring.total(0))
-                    .as("after turn " + turn + ", " + passed + " units went by")
+                    .as("after turn " + turn + ", with " + passed + " units moved")
                     .isBetween((long) (0.85 * Account.WHOLE), (long) Account.WHOLE);
         }
-        assertThat(Math.abs(passed)).as("beyond what a number holds").isGreaterThan(1L << 31);
+        assertThat(Math.abs(passed))
+                .as("units moved, beyond the range of an int")
+                .isGreaterThan(1L << 31);
     }
 
     @SuppressWarnings("unchecked")
@@ -83,7 +94,10 @@
         return (List<Neighbour>) SupplyTest.field(w.brain, "budgets", "neighbours");
     }
 
-    /** Guards a tenant's share against names that were never seen: under each of them everything would be within share. */
+    /**
+     * Guards against tenants that are not listed: if they had shares, a client could use a new name for each request
+     * and always stay within a share.
+     */
     @Test
     void whatNoListedTenantAsksForIsBeyondAnyShare() {
         World w = new World(World.settings(0, 1, false, List.of(new Tenant("a", 1000, 1))), 3);
@@ -97,10 +111,10 @@
         }
         Map<?, ?> jobs = (Map<?, ?>) SupplyTest.field(w.brain, "requests", "jobs");
         assertThat(jobs.values()).isNotEmpty().allMatch(job -> ((Job) job).overShare);
-        assertThat(w.sent(w.request(8, 0))).as("a listed tenant's").isNotNull();
+        assertThat(w.sent(w.request(8, 0))).as("the request of a listed tenant").isNotNull();
     }
 
-    /** A list that is replaced again and again, each time by servers never heard of, leaves nothing behind. */
+    /** Guards against a memory leak where the member list is replaced repeatedly, each time by new servers. */
     @Test
     void serversThatWentForGoodAreForgotten() {
         World w = World.single();
@@ -116,7 +130,10 @@
         assertThat((Map<?, ?>) SupplyTest.field(w.brain, "cluster", "servers")).hasSize(6);
     }
 
-    /** A tenant that asks only for new keys: the table of counts is full at its bound, and what is popular still counts. */
+    /**
+     * Guards against a tenant that requests new keys only: the table of counts stays at its bound, and popular keys are
+     * still counted.
+     */
     @Test
     void keysNeverAskedForBeforeDoNotCrowdOutPopularOnes() {
         KeyCounts keys = new KeyCounts();
@@ -130,7 +147,9 @@
             keys.fade(0.987);
             assertThat(Census.of(keys, MODULE).get("KeyCounts.own")).isLessThanOrEqualTo(KeyCounts.MOST_KEYS);
         }
-        assertThat(keys.reads(2)).as("popular since the table was full").isGreaterThan(200);
+        assertThat(keys.reads(2))
+                .as("reads of the key that became popular when the table was full")
+                .isGreaterThan(200);
         assertThat(keys.tell(1, 3, 0.5)).containsKey(2L).hasSize(3);
     }
 }
--- a/src/test/java/slateseam/decision/BrainTest.java
+++ b/src/test/java/slateseam/decision/BrainTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import slateseam.decision.Api.*;
 
-/** The ordinary path, and one small test for each failure found. */
+/** Tests the request path of {@link Brain}: the usual cases, and a regression test for each defect that was found. */
 class BrainTest {
     @Test
     void keysAreSpreadEvenlyAndAlikeAtEveryRouter() {
@@ -125,7 +125,10 @@
         assertTrue(toNew > 0 && toNew < due, toNew + " of " + due);
     }
 
-    /** Caches spoil answers and lose connections all alike: no sign of ill health, and the key is still where it was. */
+    /**
+     * Garbled answers and lost connections occur at all cache servers alike. They are no evidence against a server, and
+     * the key is still stored there, so that the retry goes to the same server.
+     */
     @Test
     void whatWasSpoiltOrResetIsAskedForAgainWhereTheKeyIs() {
         World w = World.single();
@@ -136,7 +139,7 @@
             w.end(w.sent(r), Outcome.OK, 1, MS);
         }
         for (int i = 20; i < 23; i++) {
-            assertEquals(14, w.sent(w.request(keyOf(14, i), 0)).member(), "nor does it narrow the window");
+            assertEquals(14, w.sent(w.request(keyOf(14, i), 0)).member(), "the window is not narrowed either");
         }
     }
 
@@ -149,11 +152,14 @@
             assertNotEquals(ORIGIN, w.sent(r).member());
             w.end(w.sent(r), Outcome.CONNECT_FAILED, attempt, MS);
         }
-        assertEquals(4, w.sends(r), "all that the settings allow");
+        assertEquals(4, w.sends(r), "all attempts that the settings permit");
         assertEquals(ORIGIN, w.sent(r).member());
     }
 
-    /** At a start every connection has yet to come up; none of that may look like a farm that is down. */
+    /**
+     * After a start, no connection is established yet. Attempts that time out before they are sent must not make the
+     * servers look as if they were down.
+     */
     @Test
     void aSlowConnectionEjectsOnlyWhenNothingCameBackForLongerThanOneMayTake() {
         World w = World.single();
@@ -171,19 +177,22 @@
         assertEquals(14, w.homeOf(keyOf(14, 4)));
     }
 
-    /** Ends so the first attempt of a read of each of these keys of cache 14; it is served elsewhere. */
+    /** Reads some keys of cache server 14, ends each first attempt with the outcome and serves the retries. */
     private static void driveAll(World w, int from, int to, Outcome outcome) {
         for (int i = from; i < to; i++) {
             w.drive(w.request(keyOf(14, i), 0), outcome);
         }
     }
 
-    /** The attempts that one mishap ends are one failure, and misses bring a cache back, if slowly. */
+    /**
+     * Attempts that fail together count as one failure, and an ejected cache server that answers with misses only is
+     * reinstated slowly.
+     */
     @Test
     void aCacheThatWasLeftAloneComesBackByItsMisses() {
         World w = World.single();
         w.homeOf(keyOf(14, 30));
-        w.homeOf(keyOf(14, 31)); // it has room for three by now
+        w.homeOf(keyOf(14, 31)); // the window has grown to three requests
         w.now += MS;
         List<Send> lost = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
@@ -199,7 +208,7 @@
             w.on(new ClientGone(trial));
         }
         w.request(keyOf(14, 20), 0);
-        assertEquals(14, w.sent(w.request(keyOf(14, 21), 0)).member(), "two at once");
+        assertEquals(14, w.sent(w.request(keyOf(14, 21), 0)).member(), "two requests in progress");
     }
 
     @Test
@@ -229,7 +238,10 @@
         assertTrue(w.refused(r));
     }
 
-    /** Guards against a list of caches that have gone, behind which those that are there are not found any more. */
+    /**
+     * Guards against a slot table that grows with every replaced cache server, until the hashes of a key only hit empty
+     * slots and the remaining servers are not found any more.
+     */
     @Test
     void cachesThatAreReplacedAllDayAreForgottenAndTheRestKeepTheirKeys() {
         World w = World.single();
@@ -304,7 +316,7 @@
     @Test
     void aCacheThatLosesWorkIsLeftAloneAndThenTried() {
         World w = World.single();
-        w.homeOf(World.keyOf(14, 10)); // its connection is up
+        w.homeOf(World.keyOf(14, 10)); // establishes the connection
         w.now += 1000 * MS;
         for (int i = 0; i < 2; i++) {
             w.end(w.sent(w.request(World.keyOf(14, i), 0)), Outcome.TIMEOUT, 0, 400 * MS);
@@ -312,7 +324,7 @@
         }
         assertNotEquals(14, w.homeOf(World.keyOf(14, 2)));
         w.pass(9000 * MS);
-        assertEquals(14, w.homeOf(World.keyOf(14, 3)), "one request tries it");
+        assertEquals(14, w.homeOf(World.keyOf(14, 3)), "one request is sent as a trial");
     }
 
     @Test
@@ -358,7 +370,7 @@
     void workThatTheCachesCannotTakeIsFetchedWhileSupplyIsLeft() {
         World w = World.single();
         for (long key = 1; key <= 50; key++) {
-            w.homeOf(key); // the caches have answered before, and so has the origin
+            w.homeOf(key); // the cache servers have answered before, and so has the origin
         }
         writes(w, 20, Outcome.OK, 20 * MS);
         w.pass(1000 * MS);
@@ -370,7 +382,7 @@
             refused += w.refused(r) ? 1 : 0;
         }
         assertTrue(fetched >= 2, fetched + " fetched");
-        assertTrue(refused > 0, "no more than supply");
+        assertTrue(refused > 0, "fetches do not exceed the supply");
     }
 
     @Test
@@ -418,7 +430,7 @@
             Send s = w.sent(w.request(key, 0));
             there += s != null && s.member() == home ? 1 : 0;
         }
-        assertTrue(there <= 1, there + " at once");
+        assertTrue(there <= 1, there + " in progress");
     }
 
     @Test
@@ -426,13 +438,13 @@
         World w = World.single();
         w.pass(1000 * MS);
         w.end(w.sent(w.request(1, 1)), Outcome.CONNECT_FAILED, 0, 0);
-        assertEquals(40, rate(w), "R stays");
+        assertEquals(40, rate(w), "R is unchanged");
         w.pass(2000 * MS);
         int out = 0;
         for (long key = 100; key <= 120; key++) {
             out += w.sends(w.request(key, 1)) > 0 ? 1 : 0;
         }
-        assertTrue(out < 8, out + " at once");
+        assertTrue(out < 8, out + " in progress");
     }
 
     @Test
@@ -453,7 +465,7 @@
         assertTrue(later >= after, after + " fell to " + later);
     }
 
-    /** R as the router has learned it. */
+    /** Returns R, the rate of origin fetches per second that the router has learned. */
     private static double rate(World w) {
         return SupplyTest.accounts(w.brain).get(0).rate;
     }
@@ -488,7 +500,7 @@
         assertTrue(back > 6 * deep, deep + " came back to " + back);
     }
 
-    /** A write every 50 ms; each that is sent, at once or later, ends so. */
+    /** Sends a write every 50 ms; each attempt, begun at once or later, ends with the outcome after {@code took} ns. */
     private static void writes(World w, int count, Outcome outcome, long took) {
         List<Long> open = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -603,7 +615,7 @@
     void idleConnectionsAreClosedOnlyToTheMemberThatRefusedOne() {
         World w = World.single();
         w.end(w.sent(w.request(keyOf(10, 0), 0)), Outcome.CONNECT_FAILED, 0, MS);
-        w.pass(9_000 * MS); // it is tried again by then
+        w.pass(9_000 * MS); // the ejection is over by then
         for (long cache = 10; cache < 12; cache++) {
             List<Action> after = w.end(w.sent(w.request(keyOf(cache, 1), 0)), Outcome.OK, 0, 5 * MS);
             assertEquals(cache == 10, after.contains(new CloseIdle(cache)), "cache " + cache);
@@ -622,7 +634,7 @@
         }
     }
 
-    /** Makes most attempts fail for a while, below the point where work within share is cut. */
+    /** Makes attempts fail for a while, at a ratio below that at which requests within their share are shed. */
     private static void collapse(World w) {
         for (int i = 0; i < 30; i++) {
             Send s = w.sent(w.request(3000 + i, 0));
@@ -698,7 +710,7 @@
         long write = w.request(1234, 2);
         assertEquals(home, w.sent(write).member());
         w.end(w.sent(write), Outcome.ERROR, 0, MS);
-        assertEquals(1, w.sends(write), "it may have run");
+        assertEquals(1, w.sends(write), "the write may have run");
         assertTrue(w.failed(write));
     }
 
@@ -749,7 +761,7 @@
         assertEquals(first, rate(idle));
     }
 
-    /** What is open keeps its class and how often it may be tried; what comes has the new. */
+    /** Open requests keep the class and the attempt limit with which they arrived; later requests get the new ones. */
     @Test
     void newSettingsBindWhatComesAndNotWhatIsOpen() {
         World w = World.single();
@@ -778,12 +790,15 @@
         assertThat(w.failed(after)).as("it must not run twice now").isTrue();
     }
 
-    /** In its first second a router cannot tell how seldom a server is asked: it is not left alone for longer by that. */
+    /**
+     * In its first second a router cannot estimate how rarely a server gets requests, so the length of an ejection must
+     * not depend on that rate yet.
+     */
     @Test
     void aFirstFailureDoesNotCostAServerManySeconds() {
         World w = World.single();
         w.end(w.sent(w.request(keyOf(10, 0), 0)), Outcome.OK, 0, 5 * MS);
-        w.pass(300 * MS); // one interval, in which one came
+        w.pass(300 * MS); // one interval with one request
         w.end(w.sent(w.request(keyOf(10, 1), 0)), Outcome.FULL, 0, 5 * MS);
         assertThat(w.homeOf(keyOf(10, 2))).isNotEqualTo(10);
         w.pass(1100 * MS);
--- a/src/test/java/slateseam/decision/ClientGoneTest.java
+++ b/src/test/java/slateseam/decision/ClientGoneTest.java
@@ -11,11 +11,15 @@
 import slateseam.decision.Api.Outcome;
 import slateseam.decision.Api.Send;
 
-/** Wherever a request waits, nothing is sent for it once its client has gone. */
+/** No attempt is sent for a request after its client has disconnected, whatever the request is waiting for. */
 class ClientGoneTest {
     private final World w = World.single();
 
-    /** All that is sent for a request after its client has gone, whatever comes free meanwhile. */
+    /**
+     * Reports the client of a request as gone and checks that neither an attempt nor an answer follows.
+     *
+     * @param meanwhile what happens next, for instance attempts that end and free room
+     */
     private void nothingMoreIsSentFor(long request, Runnable meanwhile) {
         long before = w.sends(request);
         w.on(new ClientGone(request));
@@ -23,7 +27,7 @@
         w.pass(3_000 * MS);
         assertThat(w.sends(request)).isEqualTo(before);
         assertThat(w.refused(request) || w.failed(request))
-                .as("an answer nobody waits for")
+                .as("an answer after the client has disconnected")
                 .isFalse();
     }
 
--- a/src/test/java/slateseam/decision/EmbeddingExampleTest.java
+++ b/src/test/java/slateseam/decision/EmbeddingExampleTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import slateseam.decision.Api.*;
 
-/** How a host puts the module to use. */
+/** Shows how a host embeds the module, with a single request that is served by a cache server. */
 class EmbeddingExampleTest {
     @Test
     void aHostRouterEmbedsTheModule() {
--- a/src/test/java/slateseam/decision/ModuleLimitsTest.java
+++ b/src/test/java/slateseam/decision/ModuleLimitsTest.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Keeps Brain.java readable: at most 650 non-blank lines of at most 110 characters. */
 class ModuleLimitsTest {
     @Test
     void moduleStaysWithinItsLines() throws IOException {
--- a/src/test/java/slateseam/decision/NoisyTenantTest.java
+++ b/src/test/java/slateseam/decision/NoisyTenantTest.java
@@ -17,31 +17,33 @@
 import slateseam.decision.Api.*;
 
 /**
- * One tenant that misbehaves within the protocol, and what the other one gets beside the same run without it. Four routers
- * in their ring, one origin of 60 fetches a second; {@code main} prints the table of the review.
+ * Compares the service of a well-behaved tenant with and without a second, noisy tenant that overloads the routers
+ * within the protocol. Four routers form a ring in front of one origin that bears 60 fetches per second. {@code main}
+ * prints the results as a table.
  */
 class NoisyTenantTest {
     private static final int ROUTERS = 4;
-    /** Fetches a second, for each router. */
+    /** The capacity of the origin in fetches per second, for each router. */
     private static final int ORIGIN_A_SECOND = 15;
 
     private static final int SECONDS = 40;
-    /** Reads a second of the tenant that behaves, at each router. */
+    /** Reads per second of the well-behaved tenant at each router. */
     private static final int GOOD = 30;
-    /** Its keys, for each router. */
+    /** The number of different keys of the well-behaved tenant, for each router. */
     private static final int GOOD_KEYS = 100;
-    /** Requests a second of the other, for each router: 600 of four. */
+    /** Requests per second of the noisy tenant, for each router: 600 with four routers. */
     private static final int BAD = 150;
-    /** Its share a second, for each router: 40 of four. */
+    /** The share of the noisy tenant in requests per second, for each router: 40 with four routers. */
     private static final int BAD_SHARE = 10;
 
     private static final SupplyLinks LINKS = new SupplyLinks(true, 500 * MS);
-    /** Where routers restart: one after the other, each for so many steps of 10 ms. */
+    /** The time between the restarts of two routers, in steps of 10 ms. */
     private static final int STEPS_BETWEEN_RESTARTS = 300;
 
+    /** The time for which a restarting router is down, in steps of 10 ms. */
     private static final int STEPS_AWAY = 30;
 
-    /** What the other tenant does. */
+    /** The behaviour of the noisy tenant. */
     enum Habit {
         NOTHING,
         KEYS_THAT_MISS,
@@ -50,7 +52,16 @@
         COMES_AGAIN_AT_ONCE
     }
 
-    /** What was seen: of the good tenant's reads the part served, refused, its fetches; the other's fetches a second. */
+    /**
+     * The result of a run.
+     *
+     * @param served the fraction of the well-behaved tenant's reads that were served
+     * @param refused the fraction of its reads that were refused
+     * @param fetches its origin fetches per second
+     * @param otherFetches the noisy tenant's origin fetches per second
+     * @param leastFill the smallest fraction of the supply that a router held
+     * @param mostFill the largest fraction of the supply that a router held
+     */
     record Seen(
             double served, double refused, double fetches, double otherFetches, double leastFill, double mostFill) {}
 
@@ -83,7 +94,10 @@
         worlds[i].fleet(6);
     }
 
-    /** Restarts routers other than the first, by which the other tenant enters; what they held is asked for by nobody. */
+    /**
+     * Restarts the routers in turn, except the first, which the noisy tenant uses. Requests that were open at a
+     * restarted router are lost and not sent again.
+     */
     private void restart(int step) {
         int one = 1 + step / STEPS_BETWEEN_RESTARTS % (worlds.length - 1);
         if (step % STEPS_BETWEEN_RESTARTS == 0) {
@@ -157,7 +171,7 @@
         worlds[router].on(new RequestArrived(id, key, tenant, write ? 1 : 0, write, false, 0, 1000 * MS));
     }
 
-    /** Carries out what the routers ask for, until they ask for nothing more. */
+    /** Carries out the actions of all routers until there are no more, and delivers the messages that are due. */
     private void settle(Habit habit, int[] otherFetches) {
         for (boolean more = true; more; ) {
             more = false;
@@ -238,10 +252,10 @@
     }
 
     /**
-     * What happened: 10% of a well-behaved tenant's reads were refused, at every router, while another tenant asked 600 a second at
-     * one router where its share was 40. Why: the ring moves supply to where it is short against demand, and a miss beyond a share
-     * counted as demand like one within, so that nearly all supply went to that router. What showed it: the parts of supply
-     * in the table of {@code main}, 0.01 at three routers and 0.98 at the fourth, with 0.07 and 0.79 since the mend.
+     * Guards against supply that moves to a router because of demand beyond a tenant's share. Such misses once counted
+     * as demand like those within a share. A tenant with a share of 40 that sent 600 requests per second to one router
+     * drew nearly all supply there (0.98, and 0.01 at each of the other three routers), and 10% of the other tenant's
+     * reads were refused at every router. With the correction, the parts are 0.79 and 0.07.
      */
     @Test
     void oneThatMissesAtOneRouterLeavesTheOthersTheirSupply() {
@@ -255,7 +269,10 @@
         assertThat(lost(habit, false, ROUTERS, LINKS, true)).isLessThan(0.03);
     }
 
-    /** Among twenty routers the supply of each is small, and what is spent beyond shares left nothing for a burst within. */
+    /**
+     * With twenty routers the supply of each is small. Guards against fetches beyond shares that leave no supply for a
+     * burst of demand within shares.
+     */
     @ParameterizedTest
     @EnumSource(
             value = Habit.class,
@@ -270,7 +287,10 @@
                 - of(routers, links, restarts).play(habit, byOne).served();
     }
 
-    /** A read within its share that joins a fetch begun for work beyond one does not wait behind such work. */
+    /**
+     * A read within its tenant's share that joins a fetch which was begun for a request beyond a share does not wait
+     * behind other requests beyond their shares.
+     */
     @Test
     void aReadThatJoinsAFetchBeyondASharePutsItAhead() {
         World world = new World(World.settings(0, 1, false, List.of(new Tenant("good", 200, 1))), 7);
@@ -290,7 +310,7 @@
         assertThat(world.sent(wanted).member()).isEqualTo(World.ORIGIN);
     }
 
-    /** The table of the review; with arguments (routers, links on or off, restarts or none) at another size. */
+    /** Prints the results as a table. Arguments: the number of routers, "on" for links, "restarts" for restarts. */
     public static void main(String[] args) {
         int routers = args.length == 0 ? ROUTERS : Integer.parseInt(args[0]);
         SupplyLinks links = args.length > 1 && args[1].equals("on") ? LINKS : SupplyLinks.OFF;
--- a/src/test/java/slateseam/decision/RulesPropertyTest.java
+++ b/src/test/java/slateseam/decision/RulesPropertyTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.api.Test;
 import slateseam.decision.Api.*;
 
-/** The sum to a cold member, and that chance comes from the seed alone; all other rules are the rules' model's. */
+/**
+ * Checks that all routers together stay within the budget of a cold member, and that the module is deterministic. All
+ * other rules are checked by {@code RulesModelTest}.
+ */
 class RulesPropertyTest {
     @Test
     void allRoutersTogetherStayWithinAColdMembersBudget() {
--- a/src/test/java/slateseam/decision/World.java
+++ b/src/test/java/slateseam/decision/World.java
@@ -4,13 +4,17 @@
 import java.util.List;
 import slateseam.decision.Api.*;
 
-/** Feeds one instance with events and keeps its actions; the tests decide what happens. */
+/** A test harness that passes events to one {@link Brain} and records its actions. Times are in nanoseconds. */
 final class World {
     static final long MS = 1_000_000L;
+    /** The member id of the origin. */
     static final long ORIGIN = 1;
+
     final Brain brain;
     final List<Action> actions = new ArrayList<>();
+    /** The time of the next event. */
     long now;
+
     private long nextRequest = 1;
 
     World(Settings settings, long seed) {
@@ -27,7 +31,10 @@
         on(new Started());
     }
 
-    /** An aside site with one pure class, one keyed write class and one unsafe write class. */
+    /**
+     * Returns the settings of a cache-aside site with four classes: 0 for safe reads, 1 for keyed writes, 2 for writes
+     * that must not run twice and 3 for streamed reads.
+     */
     static Settings settings(int me, int routers, boolean asked, List<Tenant> tenants) {
         List<RequestClass> classes = List.of(
                 new RequestClass("read", 500 * MS, 1000 * MS, 1, 0.5, Effect.PURE, Group.ALL, 0, false),
@@ -49,6 +56,7 @@
                 new Rules(500 * MS, 10_000 * MS, 0.3, 8_000 * MS, 3, 2_000 * MS, 8 * MS));
     }
 
+    /** Returns the harness of a tier with one router, an origin and ten cache servers. */
     static World single() {
         World w = new World(settings(0, 1, false, List.of()), 7);
         w.fleet(10);
@@ -59,7 +67,7 @@
         return new Member(id, 0, id == ORIGIN ? 1 : 0, 0, state, 1, up);
     }
 
-    /** Lists the origin and so many caches, ids from 10. */
+    /** Reports a full list of the origin and the given number of cache servers, whose ids count from 10. */
     void fleet(int caches) {
         List<Member> members = new ArrayList<>();
         members.add(member(ORIGIN, MemberState.READY, 0));
@@ -69,6 +77,7 @@
         on(new MembersChanged(ListKind.FULL, members));
     }
 
+    /** Handles an event and returns the actions that result. */
     List<Action> on(Event event) {
         List<Action> answer = new ArrayList<>();
         brain.handle(now, event, answer::add);
@@ -76,7 +85,7 @@
         return answer;
     }
 
-    /** Lets time pass, with the module's housekeeping. */
+    /** Advances the time in steps of 10 ms, with a round of housekeeping after each, and returns all actions. */
     List<Action> pass(long nanos) {
         List<Action> all = new ArrayList<>();
         for (long end = now + nanos; now < end; ) {
@@ -86,30 +95,32 @@
         return all;
     }
 
+    /** Sends a request of the first tenant and returns its number; the classes 1 and 2 are writes. */
     long request(long key, int type) {
         return request(key, type, 0);
     }
 
-    /** The same of another tenant than the first. */
+    /** Sends a request of the given tenant and returns its number; the classes 1 and 2 are writes. */
     long request(long key, int type, int tenant) {
         long id = nextRequest++;
         on(new RequestArrived(id, key, tenant, type, type == 1 || type == 2, false, 0, 1000 * MS));
         return id;
     }
 
+    /** Ends an attempt after {@code took} nanoseconds; {@code OK} is the final answer. */
     List<Action> end(Send send, Outcome outcome, int attempt, long took) {
         return on(
                 new AttemptEnded(send.request(), send.member(), attempt, outcome, false, outcome == Outcome.OK, took));
     }
 
-    /** Ends the request's first attempt so, and serves it at the next that it gets at once. */
+    /** Ends the first attempt of a request with the given outcome, and serves any retry that follows at once. */
     void drive(long request, Outcome first) {
         for (int attempt = 0; sends(request) > attempt && attempt < 4; attempt++) {
             end(sent(request), attempt == 0 ? first : Outcome.OK, attempt, MS);
         }
     }
 
-    /** The request's last send. */
+    /** Returns the latest attempt that was begun for a request; null if there is none. */
     Send sent(long request) {
         Send found = null;
         for (Action a : actions) {
@@ -128,13 +139,14 @@
         return actions.stream().anyMatch(a -> a instanceof Fail f && f.request() == request);
     }
 
+    /** Returns how many attempts were begun for a request. */
     long sends(long request) {
         return actions.stream()
                 .filter(a -> a instanceof Send s && s.request() == request)
                 .count();
     }
 
-    /** The n-th key that belongs to a cache while there are ten. */
+    /** Returns the n-th key from 1000 on, counted from 0, that belongs to a cache server in {@link #single}. */
     static long keyOf(long cache, int n) {
         World fresh = single();
         long key = 1_000;
@@ -144,7 +156,7 @@
         return key - 1;
     }
 
-    /** The cache that a key is sent to now; the request is served at once. */
+    /** Reads a key, serves the request and returns the cache server to which it was sent; -1 if it was not sent. */
     long homeOf(long key) {
         Send s = sent(request(key, 0));
         if (s == null) {
