--- a/src/main/java/slateseam/decision/Brain.java
+++ b/src/main/java/slateseam/decision/Brain.java
@@ -153,6 +153,7 @@
         }
     }
 
+    /** Runs a round of housekeeping. */
     private void tick() {
         budgets.accrue();
         if (budgets.intervalIsOver()) {
@@ -202,6 +203,10 @@
         }
     }
 
+    /**
+     * Creates the state of a request, which is declined in time for two rounds of housekeeping before its
+     * deadline, or earlier if an answer after the aim of its class is worth nothing.
+     */
     private Job createPending(RequestArrived event, ShareUse share) {
         Settings settings = context.settings();
         RequestClass type = settings.classes().get(event.requestClass());
@@ -258,9 +263,9 @@
     }
 
     /**
-     * Handles a request that no cache server has room for. Within its tenant's share it is fetched from the
-     * origin like a miss, as long as there is supply that no other request waits for. Otherwise it waits for
-     * room at a cache server, or is declined.
+     * Handles a request that was shed or that no cache server has room for. Within its tenant's share it is
+     * fetched from the origin like a miss, as long as there is supply that no other request waits for.
+     * Otherwise it waits for room at a cache server, or is declined.
      *
      * @param mayWait whether room is expected soon: after a start, or while most caches fail together, no
      *     cache server is full for good
--- a/src/test/java/slateseam/decision/BoundsTest.java
+++ b/src/test/java/slateseam/decision/BoundsTest.java
@@ -25,7 +25,7 @@
      * supply and were never removed.
      */
     @Test
-    void aLastingShortageOfSupplyHoldsOnlyWhatIsStillOwed() {
+    void aLastingShortageOfSupplyKeepsOnlyOpenRequests() {
         World w = World.single();
         for (int i = 0; i < 12_000; i++) {
             Send first = w.sent(w.request(1_000 + i, 0));
@@ -54,7 +54,7 @@
      * times until half of their time was over.
      */
     @Test
-    void whatHasItsAnswerLeavesEveryQueueAtOnce() {
+    void finishedRequestsLeaveEveryQueueAtOnce() {
         World w = World.single();
         for (int i = 0; i < 1_000; i++) {
             w.homeOf(1_000 + i % 7);
@@ -68,7 +68,7 @@
      * overflows, which must not lose any supply.
      */
     @Test
-    void supplyThatGoesRoundTheRingIsNeverUsedUp() {
+    void supplyThatMovesRoundTheRingIsNotLost() {
         Ring ring = new Ring(3, 4, 0, 0);
         long passed = 0;
         int before = 0;
@@ -99,7 +99,7 @@
      * and always stay within a share.
      */
     @Test
-    void whatNoListedTenantAsksForIsBeyondAnyShare() {
+    void requestsOfUnlistedTenantsAreBeyondAnyShare() {
         World w = new World(World.settings(0, 1, false, List.of(new Tenant("a", 1000, 1))), 3);
         w.fleet(2);
         w.pass(3_000 * MS);
@@ -116,7 +116,7 @@
 
     /** Guards against a memory leak where the member list is replaced repeatedly, each time by new servers. */
     @Test
-    void serversThatWentForGoodAreForgotten() {
+    void removedServersAreForgotten() {
         World w = World.single();
         for (int i = 0; i < 2_000; i++) {
             List<Member> all = new ArrayList<>(List.of(member(World.ORIGIN, MemberState.READY, 0)));
@@ -135,7 +135,7 @@
      * still counted.
      */
     @Test
-    void keysNeverAskedForBeforeDoNotCrowdOutPopularOnes() {
+    void newKeysDoNotCrowdOutPopularKeys() {
         KeyCounts keys = new KeyCounts();
         for (int interval = 0; interval < 200; interval++) {
             for (int i = 0; i < 2_000; i++) {
--- a/src/test/java/slateseam/decision/BrainTest.java
+++ b/src/test/java/slateseam/decision/BrainTest.java
@@ -130,7 +130,7 @@
      * the key is still stored there, so that the retry goes to the same server.
      */
     @Test
-    void whatWasSpoiltOrResetIsAskedForAgainWhereTheKeyIs() {
+    void garbledAnswersAndResetsAreRetriedAtTheSameServer() {
         World w = World.single();
         for (int i = 0; i < 20; i++) {
             long r = w.request(keyOf(14, i), 0);
@@ -161,24 +161,24 @@
      * servers look as if they were down.
      */
     @Test
-    void aSlowConnectionEjectsOnlyWhenNothingCameBackForLongerThanOneMayTake() {
+    void aSlowConnectionEjectsOnlyAfterSilenceLongerThanAConnectTimeout() {
         World w = World.single();
-        driveAll(w, 0, 8, Outcome.UNSENT);
+        endFirstAttempts(w, 0, 8, Outcome.UNSENT);
         assertEquals(14, w.sent(w.request(keyOf(14, 8), 0)).member());
         w.now += 650 * MS;
-        driveAll(w, 9, 13, Outcome.UNSENT);
+        endFirstAttempts(w, 9, 13, Outcome.UNSENT);
         assertNotEquals(14, w.homeOf(keyOf(14, 13)));
     }
 
     @Test
-    void attemptsThatHadLittleTimeTellNothingOfTheCache() {
+    void timeoutsOfShortAttemptsDoNotEjectTheCache() {
         World w = World.single();
-        driveAll(w, 0, 4, Outcome.TIMEOUT);
+        endFirstAttempts(w, 0, 4, Outcome.TIMEOUT);
         assertEquals(14, w.homeOf(keyOf(14, 4)));
     }
 
     /** Reads some keys of cache server 14, ends each first attempt with the outcome and serves the retries. */
-    private static void driveAll(World w, int from, int to, Outcome outcome) {
+    private static void endFirstAttempts(World w, int from, int to, Outcome outcome) {
         for (int i = from; i < to; i++) {
             w.drive(w.request(keyOf(14, i), 0), outcome);
         }
@@ -189,7 +189,7 @@
      * reinstated slowly.
      */
     @Test
-    void aCacheThatWasLeftAloneComesBackByItsMisses() {
+    void anEjectedCacheIsReinstatedByMisses() {
         World w = World.single();
         w.homeOf(keyOf(14, 30));
         w.homeOf(keyOf(14, 31)); // the window has grown to three requests
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void aReadMovesOnWhileThereIsTimeForAnotherAnswerOrNotAtAll() {
+    void aReadGetsATimeoutOnlyWhileThereIsTimeForAnotherAnswer() {
         World w = World.single();
         for (long usual : new long[] {100, 300}) {
             for (int i = 0; i < 100; i++) {
@@ -226,7 +226,7 @@
     }
 
     @Test
-    void workForWhichNothingWasSentIsGivenUpAtHalfOfItsTime() {
+    void aRequestThatWasNeverSentIsDeclinedAtHalfOfItsTime() {
         World w = World.single();
         long r = 0;
         for (int i = 0; i < 100; i++) {
@@ -243,7 +243,7 @@
      * slots and the remaining servers are not found any more.
      */
     @Test
-    void cachesThatAreReplacedAllDayAreForgottenAndTheRestKeepTheirKeys() {
+    void replacedCachesAreForgottenAndTheOthersKeepTheirKeys() {
         World w = World.single();
         Map<Long, Long> homes = new HashMap<>();
         int moved = 0;
@@ -314,7 +314,7 @@
     }
 
     @Test
-    void aCacheThatLosesWorkIsLeftAloneAndThenTried() {
+    void aCacheThatTimesOutIsEjectedAndThenTried() {
         World w = World.single();
         w.homeOf(World.keyOf(14, 10)); // establishes the connection
         w.now += 1000 * MS;
@@ -328,7 +328,7 @@
     }
 
     @Test
-    void aCacheThatAnswersFullIsLeftAloneForARest() {
+    void aCacheThatAnswersFullIsEjected() {
         World w = World.single();
         long home = w.homeOf(1000);
         w.end(w.sent(w.request(1000, 0)), Outcome.FULL, 0, MS);
@@ -337,7 +337,7 @@
     }
 
     @Test
-    void whereRequestsAreSeldomOneRefusedConnectionEjects() {
+    void whereRequestsAreRareOneRefusedConnectionEjects() {
         World w = new World(World.settings(0, 1, false, List.of()), 7);
         w.fleet(50);
         w.pass(2000 * MS);
@@ -347,7 +347,7 @@
     }
 
     @Test
-    void whereRequestsAreSeldomALostOneEjectsUnlessItsKeyIsPopular() {
+    void whereRequestsAreRareATimeoutEjectsUnlessItsKeyIsPopular() {
         World w = new World(World.settings(0, 1, false, List.of()), 7);
         w.fleet(52);
         for (int i = 0; i < 2000; i++) {
@@ -367,12 +367,12 @@
     }
 
     @Test
-    void workThatTheCachesCannotTakeIsFetchedWhileSupplyIsLeft() {
+    void requestsWithoutRoomAtACacheAreFetchedWhileSupplyIsLeft() {
         World w = World.single();
         for (long key = 1; key <= 50; key++) {
             w.homeOf(key); // the cache servers have answered before, and so has the origin
         }
-        writes(w, 20, Outcome.OK, 20 * MS);
+        sendWrites(w, 20, Outcome.OK, 20 * MS);
         w.pass(1000 * MS);
         int fetched = 0;
         int refused = 0;
@@ -400,7 +400,7 @@
     }
 
     @Test
-    void missesDoNotHideThatACacheIsOverrun() {
+    void missesDoNotHideThatACacheIsOverloaded() {
         World w = World.single();
         for (int i = 0; i < 2; i++) {
             w.end(w.sent(w.request(World.keyOf(14, i), 0)), Outcome.MISS, 0, MS);
@@ -413,7 +413,7 @@
     }
 
     @Test
-    void aSlowCacheGetsLessOfOurWorkAtOnce() {
+    void aSlowCacheGetsFewerConcurrentRequests() {
         World w = World.single();
         long key = 1000;
         long home = w.homeOf(key);
@@ -434,7 +434,7 @@
     }
 
     @Test
-    void refusedConnectionsAtTheOriginShrinkOurWorkThereAndNotR() {
+    void refusedConnectionsNarrowTheWindowOfTheOriginAndNotR() {
         World w = World.single();
         w.pass(1000 * MS);
         w.end(w.sent(w.request(1, 1)), Outcome.CONNECT_FAILED, 0, 0);
@@ -451,16 +451,16 @@
     void rIsNotCutAgainOnFetchTimesFromBeforeTheCut() {
         World w = World.single();
         w.pass(1000 * MS);
-        writes(w, 40, Outcome.OK, 20 * MS);
+        sendWrites(w, 40, Outcome.OK, 20 * MS);
         double before = rate(w);
-        writes(w, 20, Outcome.OK, 300 * MS);
+        sendWrites(w, 20, Outcome.OK, 300 * MS);
         double cut = rate(w);
         assertTrue(cut < before, "a slow origin cuts R: " + before + " to " + cut);
-        writes(w, 10, Outcome.OK, 20 * MS);
+        sendWrites(w, 10, Outcome.OK, 20 * MS);
         double after = rate(w);
-        writes(w, 10, Outcome.OK, 20 * MS);
+        sendWrites(w, 10, Outcome.OK, 20 * MS);
         w.pass(5000 * MS);
-        writes(w, 10, Outcome.OK, 20 * MS);
+        sendWrites(w, 10, Outcome.OK, 20 * MS);
         double later = rate(w);
         assertTrue(later >= after, after + " fell to " + later);
     }
@@ -474,8 +474,8 @@
     void rDoesNotGrowWhileFetchesAreSlowerThanUsual() {
         World w = World.single();
         w.pass(1000 * MS);
-        writes(w, 40, Outcome.OK, 50 * MS);
-        writes(w, 30, Outcome.OK, 100 * MS);
+        sendWrites(w, 40, Outcome.OK, 50 * MS);
+        sendWrites(w, 30, Outcome.OK, 100 * MS);
         double before = rate(w);
         for (long key = 1; key <= 90; key++) {
             Send s = w.sent(w.request(key, 1));
@@ -491,17 +491,17 @@
     void rComesBackFromADeepCutOnceTheOriginIsQuickAgain() {
         World w = World.single();
         w.pass(1000 * MS);
-        writes(w, 40, Outcome.OK, 20 * MS);
-        writes(w, 100, Outcome.TIMEOUT, 400 * MS);
+        sendWrites(w, 40, Outcome.OK, 20 * MS);
+        sendWrites(w, 100, Outcome.TIMEOUT, 400 * MS);
         double deep = rate(w);
         assertTrue(deep < 10, "cut to " + deep);
-        writes(w, 200, Outcome.OK, 20 * MS);
+        sendWrites(w, 200, Outcome.OK, 20 * MS);
         double back = rate(w);
         assertTrue(back > 6 * deep, deep + " came back to " + back);
     }
 
     /** Sends a write every 50 ms; each attempt, begun at once or later, ends with the outcome after {@code took} ns. */
-    private static void writes(World w, int count, Outcome outcome, long took) {
+    private static void sendWrites(World w, int count, Outcome outcome, long took) {
         List<Long> open = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             open.add(w.request(1 + w.now, 1));
@@ -516,7 +516,7 @@
     }
 
     @Test
-    void aFetchThatFillsACacheIsLetFinishWhileTheOriginIsSlowerThanTheAim() {
+    void aFetchThatFillsACacheIsNotCancelledWhileTheOriginIsSlowerThanTheAim() {
         World w = World.single();
         w.pass(1000 * MS);
         int cancelled = 0;
@@ -537,7 +537,7 @@
     }
 
     @Test
-    void whatWasHeldLastIsReleasedFirst() {
+    void theLatestRequestThatWaitsForSupplyIsSentFirst() {
         World w = World.single();
         List<Long> held = new ArrayList<>();
         for (long key = 1; held.size() < 10; key++) {
@@ -553,7 +553,7 @@
     }
 
     @Test
-    void aTryWithHardlyAnyTimeLeftIsAnsweredAtOnce() {
+    void aRequestWithHardlyAnyTimeLeftIsAnsweredAtOnce() {
         World w = World.single();
         for (long key = 1; key <= 200; key++) {
             w.request(key, 1);
@@ -563,7 +563,7 @@
     }
 
     @Test
-    void copiesOfAHotKeyThatMissAreGivenUp() {
+    void replicasOfAHotKeyThatMissAreAbandoned() {
         World w = World.single();
         w.pass(1000 * MS);
         for (int i = 0; i < 60; i++) {
@@ -623,7 +623,7 @@
     }
 
     @Test
-    void bunchedClientsOfATenantAreNotOverItsShare() {
+    void aBurstOfATenantIsNotOverItsShare() {
         List<Tenant> tenants = List.of(new Tenant("a", 2, 1));
         World w = new World(World.settings(0, 1, false, tenants), 3);
         w.fleet(4);
@@ -733,7 +733,7 @@
     }
 
     @Test
-    void legalOdditiesAreHarmless() {
+    void unexpectedButLegalEventsAreIgnored() {
         World w = World.single();
         long r = w.request(1000, 0);
         Send s = w.sent(r);
@@ -763,7 +763,7 @@
 
     /** Open requests keep the class and the attempt limit with which they arrived; later requests get the new ones. */
     @Test
-    void newSettingsBindWhatComesAndNotWhatIsOpen() {
+    void newSettingsApplyToLaterRequestsOnly() {
         World w = World.single();
         long before = w.request(World.keyOf(10, 0), 0);
         Settings old = World.settings(0, 1, false, List.of());
--- a/src/test/java/slateseam/decision/ClientGoneTest.java
+++ b/src/test/java/slateseam/decision/ClientGoneTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void heldForSupply() {
+    void whileWaitingForSupply() {
         List<Long> held = new ArrayList<>();
         for (long key = 1; key <= 300; key++) {
             long request = w.request(key, 0);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void behindAnothersFetch() {
+    void whileWaitingForTheFetchOfAnotherRequest() {
         w.pass(1_000 * MS);
         long leader = w.request(5, 0);
         long follower = w.request(5, 0);
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void whileTheCacheHasAFetchOut() {
+    void whileTheCacheIsFetching() {
         long request = w.request(5, 0);
         Send first = w.sent(request);
         w.on(new AttemptEnded(request, first.member(), 0, Outcome.MISS, true, false, MS));
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void forRoomAtACache() {
+    void whileWaitingForRoomAtACache() {
         List<Send> out = new ArrayList<>();
         long last = 0;
         for (int i = 0; i < 200; i++) {
--- a/src/test/java/slateseam/decision/ModuleLimitsTest.java
+++ b/src/test/java/slateseam/decision/ModuleLimitsTest.java
@@ -11,7 +11,7 @@
 /** Keeps Brain.java readable: at most 650 non-blank lines of at most 110 characters. */
 class ModuleLimitsTest {
     @Test
-    void moduleStaysWithinItsLines() throws IOException {
+    void brainStaysWithinItsSizeLimits() throws IOException {
         List<String> lines = Files.readAllLines(Path.of("src/main/java/slateseam/decision/Brain.java"));
         long filled = lines.stream().filter(line -> !line.isBlank()).count();
         assertTrue(filled <= 650, "Brain.java has " + filled + " non-blank lines");
--- a/src/test/java/slateseam/decision/NoisyTenantTest.java
+++ b/src/test/java/slateseam/decision/NoisyTenantTest.java
@@ -24,27 +24,27 @@
 class NoisyTenantTest {
     private static final int ROUTERS = 4;
     /** The capacity of the origin in fetches per second, for each router. */
-    private static final int ORIGIN_A_SECOND = 15;
+    private static final int ORIGIN_FETCHES_PER_SECOND = 15;
 
     private static final int SECONDS = 40;
     /** Reads per second of the well-behaved tenant at each router. */
-    private static final int GOOD = 30;
+    private static final int READS_PER_SECOND = 30;
     /** The number of different keys of the well-behaved tenant, for each router. */
-    private static final int GOOD_KEYS = 100;
+    private static final int READ_KEYS = 100;
     /** Requests per second of the noisy tenant, for each router: 600 with four routers. */
-    private static final int BAD = 150;
+    private static final int NOISY_RATE = 150;
     /** The share of the noisy tenant in requests per second, for each router: 40 with four routers. */
-    private static final int BAD_SHARE = 10;
+    private static final int NOISY_SHARE_PER_SECOND = 10;
 
     private static final SupplyLinks LINKS = new SupplyLinks(true, 500 * MS);
     /** The time between the restarts of two routers, in steps of 10 ms. */
     private static final int STEPS_BETWEEN_RESTARTS = 300;
 
     /** The time for which a restarting router is down, in steps of 10 ms. */
-    private static final int STEPS_AWAY = 30;
+    private static final int STEPS_DOWN = 30;
 
     /** The behaviour of the noisy tenant. */
-    enum Habit {
+    enum Behaviour {
         NOTHING,
         KEYS_THAT_MISS,
         NEW_KEYS,
@@ -62,18 +62,18 @@
      * @param leastFill the smallest fraction of the supply that a router held
      * @param mostFill the largest fraction of the supply that a router held
      */
-    record Seen(
+    record Result(
             double served, double refused, double fetches, double otherFetches, double leastFill, double mostFill) {}
 
-    private record Asked(int router, int tenant, long key, boolean write) {}
+    private record SentRequest(int router, int tenant, long key, boolean write) {}
 
     private final Random random = new Random(7);
     private World[] worlds = new World[ROUTERS];
     private SupplyLinks links = SupplyLinks.OFF;
     private boolean restarts;
-    private final Map<Long, Asked> asked = new HashMap<>();
+    private final Map<Long, SentRequest> sentRequests = new HashMap<>();
     private final Set<Long> stored = new HashSet<>();
-    private final List<Object[]> letters = new ArrayList<>();
+    private final List<Object[]> messagesInTransit = new ArrayList<>();
     private final int[] counts = new int[4];
     private long now = 1_000_000 * MS;
     private long next = 1;
@@ -88,8 +88,9 @@
     }
 
     private void start(int i) {
-        List<Tenant> tenants =
-                List.of(new Tenant("good", 50 * worlds.length, 0.8), new Tenant("bad", BAD_SHARE * worlds.length, 0.2));
+        List<Tenant> tenants = List.of(
+                new Tenant("good", 50 * worlds.length, 0.8),
+                new Tenant("bad", NOISY_SHARE_PER_SECOND * worlds.length, 0.2));
         worlds[i] = new World(World.settings(i, worlds.length, false, tenants), i, now, links);
         worlds[i].fleet(6);
     }
@@ -102,12 +103,12 @@
         int one = 1 + step / STEPS_BETWEEN_RESTARTS % (worlds.length - 1);
         if (step % STEPS_BETWEEN_RESTARTS == 0) {
             worlds[one] = null;
-        } else if (step % STEPS_BETWEEN_RESTARTS == STEPS_AWAY) {
+        } else if (step % STEPS_BETWEEN_RESTARTS == STEPS_DOWN) {
             start(one);
         }
     }
 
-    Seen play(Habit habit, boolean byOne) {
+    Result run(Behaviour behaviour, boolean atOneRouter) {
         for (int i = 0; i < worlds.length; i++) {
             start(i);
         }
@@ -117,7 +118,7 @@
         double most = 0;
         for (int step = 0; step < SECONDS * 100; step++) {
             now += 10 * MS;
-            tokens = Math.min(5 * worlds.length, tokens + ORIGIN_A_SECOND * worlds.length / 100.0);
+            tokens = Math.min(5 * worlds.length, tokens + ORIGIN_FETCHES_PER_SECOND * worlds.length / 100.0);
             if (restarts && step > 500) {
                 restart(step);
             }
@@ -126,24 +127,26 @@
                     continue;
                 }
                 worlds[i].now = now;
-                if (random.nextInt(100) < GOOD) {
+                if (random.nextInt(100) < READS_PER_SECOND) {
                     boolean counted = step > 1_000;
                     goodAsked += counted ? 1 : 0;
                     ask(
                             i,
                             0,
-                            1 + (long) (Math.pow(random.nextDouble(), 3) * GOOD_KEYS * worlds.length),
+                            1 + (long) (Math.pow(random.nextDouble(), 3) * READ_KEYS * worlds.length),
                             false,
                             counted);
                 }
-                int bad = habit == Habit.NOTHING ? 0 : byOne ? i == 0 ? BAD * worlds.length : 0 : BAD;
+                int bad = behaviour == Behaviour.NOTHING
+                        ? 0
+                        : atOneRouter ? i == 0 ? NOISY_RATE * worlds.length : 0 : NOISY_RATE;
                 for (double n = bad / 100.0; n > random.nextDouble(); n--) {
-                    long key = habit == Habit.NEW_KEYS ? 1_000_000 + next : 5_000 + random.nextInt(50);
-                    ask(i, 1, key, habit == Habit.WRITES, false);
+                    long key = behaviour == Behaviour.NEW_KEYS ? 1_000_000 + next : 5_000 + random.nextInt(50);
+                    ask(i, 1, key, behaviour == Behaviour.WRITES, false);
                 }
                 worlds[i].on(new TimerFired(1));
             }
-            settle(habit, otherFetches);
+            settle(behaviour, otherFetches);
             if (step > 1_000 && step % 100 == 0) {
                 for (World w : worlds) {
                     if (w == null) {
@@ -156,7 +159,7 @@
             }
         }
         double seconds = SECONDS - 10;
-        return new Seen(
+        return new Result(
                 (double) counts[0] / goodAsked,
                 (double) counts[1] / goodAsked,
                 counts[2] / seconds,
@@ -167,12 +170,12 @@
 
     private void ask(int router, int tenant, long key, boolean write, boolean counted) {
         long id = next++;
-        asked.put(id, new Asked(router, counted ? tenant : tenant + 10, key, write));
+        sentRequests.put(id, new SentRequest(router, counted ? tenant : tenant + 10, key, write));
         worlds[router].on(new RequestArrived(id, key, tenant, write ? 1 : 0, write, false, 0, 1000 * MS));
     }
 
     /** Carries out the actions of all routers until there are no more, and delivers the messages that are due. */
-    private void settle(Habit habit, int[] otherFetches) {
+    private void settle(Behaviour behaviour, int[] otherFetches) {
         for (boolean more = true; more; ) {
             more = false;
             for (int i = 0; i < worlds.length; i++) {
@@ -182,22 +185,24 @@
                 List<Action> actions = List.copyOf(worlds[i].actions);
                 worlds[i].actions.clear();
                 for (Action action : actions) {
-                    more |= carryOut(habit, i, action, otherFetches);
+                    more |= carryOut(behaviour, i, action, otherFetches);
                 }
             }
         }
-        List<Object[]> due = letters.stream().filter(l -> (long) l[3] <= now).toList();
-        letters.removeAll(due);
+        List<Object[]> due =
+                messagesInTransit.stream().filter(l -> (long) l[3] <= now).toList();
+        messagesInTransit.removeAll(due);
         due.stream()
                 .filter(l -> worlds[(int) l[1]] != null)
                 .forEach(l -> worlds[(int) l[1]].on(new PeerMessage((int) l[0], (byte[]) l[2])));
     }
 
-    private boolean carryOut(Habit habit, int router, Action action, int[] otherFetches) {
+    private boolean carryOut(Behaviour behaviour, int router, Action action, int[] otherFetches) {
         if (action instanceof TellPeer tell) {
-            letters.add(new Object[] {router, tell.to(), tell.payload(), now + (3 + random.nextInt(30)) * MS});
+            messagesInTransit.add(
+                    new Object[] {router, tell.to(), tell.payload(), now + (3 + random.nextInt(30)) * MS});
         } else if (action instanceof Send send) {
-            Asked of = asked.get(send.request());
+            SentRequest of = sentRequests.get(send.request());
             boolean origin = send.member() == World.ORIGIN;
             Outcome outcome = origin
                     ? tokens >= 1 ? Outcome.OK : Outcome.FULL
@@ -206,7 +211,7 @@
                 tokens--;
                 counts[2] += of.tenant == 0 ? 1 : 0;
                 otherFetches[0] += of.tenant == 11 ? 1 : 0;
-                boolean kept = !of.write && !(of.tenant == 11 && habit == Habit.KEYS_THAT_MISS);
+                boolean kept = !of.write && !(of.tenant == 11 && behaviour == Behaviour.KEYS_THAT_MISS);
                 for (int c = 10; kept && c < 16; c++) {
                     stored.add(of.key * 100 + c);
                 }
@@ -223,9 +228,9 @@
             counts[0] += outcome == Outcome.OK && of.tenant == 0 ? 1 : 0;
             return true;
         } else if (action instanceof Refuse refuse) {
-            Asked of = asked.get(refuse.request());
+            SentRequest of = sentRequests.get(refuse.request());
             counts[1] += of.tenant == 0 ? 1 : 0;
-            if (habit == Habit.COMES_AGAIN_AT_ONCE && of.tenant == 11 && random.nextInt(10) > 0) {
+            if (behaviour == Behaviour.COMES_AGAIN_AT_ONCE && of.tenant == 11 && random.nextInt(10) > 0) {
                 ask(router, 1, of.key, false, false);
                 return true;
             }
@@ -235,20 +240,20 @@
 
     private final Map<Long, Integer> attempts = new HashMap<>();
 
-    private static double lost(Habit habit, boolean byOne) {
-        return new NoisyTenantTest().play(Habit.NOTHING, false).served()
-                - new NoisyTenantTest().play(habit, byOne).served();
+    private static double lostService(Behaviour behaviour, boolean atOneRouter) {
+        return new NoisyTenantTest().run(Behaviour.NOTHING, false).served()
+                - new NoisyTenantTest().run(behaviour, atOneRouter).served();
     }
 
     @ParameterizedTest
-    @EnumSource(value = Habit.class, names = "NOTHING", mode = EnumSource.Mode.EXCLUDE)
-    void theOtherTenantKeepsItsServiceWhereItEntersByAllRouters(Habit habit) {
-        assertThat(lost(habit, false)).isLessThan(0.03);
+    @EnumSource(value = Behaviour.class, names = "NOTHING", mode = EnumSource.Mode.EXCLUDE)
+    void theOtherTenantKeepsItsServiceWithNoiseAtAllRouters(Behaviour behaviour) {
+        assertThat(lostService(behaviour, false)).isLessThan(0.03);
     }
 
     @Test
-    void oneThatComesAgainAtOnceTakesNothingByOneRouterEither() {
-        assertThat(lost(Habit.COMES_AGAIN_AT_ONCE, true)).isLessThan(0.03);
+    void immediateRetriesAtOneRouterDoNotHarmTheOtherTenant() {
+        assertThat(lostService(Behaviour.COMES_AGAIN_AT_ONCE, true)).isLessThan(0.03);
     }
 
     /**
@@ -258,15 +263,15 @@
      * reads were refused at every router. With the correction, the parts are 0.79 and 0.07.
      */
     @Test
-    void oneThatMissesAtOneRouterLeavesTheOthersTheirSupply() {
-        assertThat(lost(Habit.NEW_KEYS, true)).isLessThan(0.03);
+    void missesAtOneRouterLeaveTheOtherRoutersTheirSupply() {
+        assertThat(lostService(Behaviour.NEW_KEYS, true)).isLessThan(0.03);
     }
 
     @ParameterizedTest
-    @EnumSource(value = Habit.class, names = "NOTHING", mode = EnumSource.Mode.EXCLUDE)
-    void soItIsWithLinksAndWhileRoutersRestart(Habit habit) {
-        assertThat(lost(habit, true, ROUTERS, LINKS, true)).isLessThan(0.03);
-        assertThat(lost(habit, false, ROUTERS, LINKS, true)).isLessThan(0.03);
+    @EnumSource(value = Behaviour.class, names = "NOTHING", mode = EnumSource.Mode.EXCLUDE)
+    void theOtherTenantKeepsItsServiceWithLinksAndWhileRoutersRestart(Behaviour behaviour) {
+        assertThat(lostService(behaviour, true, ROUTERS, LINKS, true)).isLessThan(0.03);
+        assertThat(lostService(behaviour, false, ROUTERS, LINKS, true)).isLessThan(0.03);
     }
 
     /**
@@ -275,16 +280,17 @@
      */
     @ParameterizedTest
     @EnumSource(
-            value = Habit.class,
+            value = Behaviour.class,
             names = {"NEW_KEYS", "WRITES"})
-    void soItIsAmongTwentyRouters(Habit habit) {
-        assertThat(lost(habit, true, 20, SupplyLinks.OFF, false)).isLessThan(0.03);
-        assertThat(lost(habit, false, 20, SupplyLinks.OFF, false)).isLessThan(0.03);
+    void theOtherTenantKeepsItsServiceAmongTwentyRouters(Behaviour behaviour) {
+        assertThat(lostService(behaviour, true, 20, SupplyLinks.OFF, false)).isLessThan(0.03);
+        assertThat(lostService(behaviour, false, 20, SupplyLinks.OFF, false)).isLessThan(0.03);
     }
 
-    private static double lost(Habit habit, boolean byOne, int routers, SupplyLinks links, boolean restarts) {
-        return of(routers, links, restarts).play(Habit.NOTHING, false).served()
-                - of(routers, links, restarts).play(habit, byOne).served();
+    private static double lostService(
+            Behaviour behaviour, boolean atOneRouter, int routers, SupplyLinks links, boolean restarts) {
+        return of(routers, links, restarts).run(Behaviour.NOTHING, false).served()
+                - of(routers, links, restarts).run(behaviour, atOneRouter).served();
     }
 
     /**
@@ -292,7 +298,7 @@
      * behind other requests beyond their shares.
      */
     @Test
-    void aReadThatJoinsAFetchBeyondASharePutsItAhead() {
+    void aReadThatJoinsAFetchBeyondASharePromotesIt() {
         World world = new World(World.settings(0, 1, false, List.of(new Tenant("good", 200, 1))), 7);
         world.fleet(6);
         int unlisted = 9;
@@ -318,20 +324,21 @@
         System.out.println(
                 "| the other tenant | enters by | good served | good refused | good fetches/s | other's fetches/s"
                         + " | parts of supply |\n| --- | --- | --- | --- | --- | --- | --- |");
-        for (Habit habit : Habit.values()) {
-            for (boolean byOne : habit == Habit.NOTHING ? new boolean[] {false} : new boolean[] {false, true}) {
-                Seen seen = of(routers, links, restarts).play(habit, byOne);
+        for (Behaviour behaviour : Behaviour.values()) {
+            for (boolean atOneRouter :
+                    behaviour == Behaviour.NOTHING ? new boolean[] {false} : new boolean[] {false, true}) {
+                Result result = of(routers, links, restarts).run(behaviour, atOneRouter);
                 System.out.printf(
                         Locale.ROOT,
                         "| %s | %s | %.3f | %.3f | %.1f | %.1f | %.2f..%.2f |%n",
-                        habit.name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                        byOne ? "one" : "all",
-                        seen.served(),
-                        seen.refused(),
-                        seen.fetches(),
-                        seen.otherFetches(),
-                        seen.leastFill(),
-                        seen.mostFill());
+                        behaviour.name().toLowerCase(Locale.ROOT).replace('_', ' '),
+                        atOneRouter ? "one" : "all",
+                        result.served(),
+                        result.refused(),
+                        result.fetches(),
+                        result.otherFetches(),
+                        result.leastFill(),
+                        result.mostFill());
             }
         }
     }
