--- a/src/test/java/slateseam/decision/BrainTest.java
+++ b/src/test/java/slateseam/decision/BrainTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import slateseam.decision.Api.*;
 
-/** The ordinary path, and one small test for each failure found. */
+/** Tests the request path of {@link Brain}: the usual cases, and a regression test for each defect that was found. */
 class BrainTest {
     @Test
     void keysAreSpreadEvenlyAndAlikeAtEveryRouter() {
@@ -125,9 +125,12 @@
         assertTrue(toNew > 0 && toNew < due, toNew + " of " + due);
     }
 
-    /** Caches spoil answers and lose connections all alike: no sign of ill health, and the key is still where it was. */
+    /**
+     * Garbled answers and lost connections occur at all cache servers alike. They are no evidence against a server, and
+     * the key is still stored there, so that the retry goes to the same server.
+     */
     @Test
-    void whatWasSpoiltOrResetIsAskedForAgainWhereTheKeyIs() {
+    void garbledAnswersAndResetsAreRetriedAtTheSameServer() {
         World w = World.single();
         for (int i = 0; i < 20; i++) {
             long r = w.request(keyOf(14, i), 0);
@@ -136,7 +139,7 @@
             w.end(w.sent(r), Outcome.OK, 1, MS);
         }
         for (int i = 20; i < 23; i++) {
-            assertEquals(14, w.sent(w.request(keyOf(14, i), 0)).member(), "nor does it narrow the window");
+            assertEquals(14, w.sent(w.request(keyOf(14, i), 0)).member(), "the window is not narrowed either");
         }
     }
 
@@ -149,41 +152,47 @@
             assertNotEquals(ORIGIN, w.sent(r).member());
             w.end(w.sent(r), Outcome.CONNECT_FAILED, attempt, MS);
         }
-        assertEquals(4, w.sends(r), "all that the settings allow");
+        assertEquals(4, w.sends(r), "all attempts that the settings permit");
         assertEquals(ORIGIN, w.sent(r).member());
     }
 
-    /** At a start every connection has yet to come up; none of that may look like a farm that is down. */
+    /**
+     * After a start, no connection is established yet. Attempts that time out before they are sent must not make the
+     * servers look as if they were down.
+     */
     @Test
-    void aSlowConnectionEjectsOnlyWhenNothingCameBackForLongerThanOneMayTake() {
+    void aSlowConnectionEjectsOnlyAfterSilenceLongerThanAConnectTimeout() {
         World w = World.single();
-        driveAll(w, 0, 8, Outcome.UNSENT);
+        endFirstAttempts(w, 0, 8, Outcome.UNSENT);
         assertEquals(14, w.sent(w.request(keyOf(14, 8), 0)).member());
         w.now += 650 * MS;
-        driveAll(w, 9, 13, Outcome.UNSENT);
+        endFirstAttempts(w, 9, 13, Outcome.UNSENT);
         assertNotEquals(14, w.homeOf(keyOf(14, 13)));
     }
 
     @Test
-    void attemptsThatHadLittleTimeTellNothingOfTheCache() {
+    void timeoutsOfShortAttemptsDoNotEjectTheCache() {
         World w = World.single();
-        driveAll(w, 0, 4, Outcome.TIMEOUT);
+        endFirstAttempts(w, 0, 4, Outcome.TIMEOUT);
         assertEquals(14, w.homeOf(keyOf(14, 4)));
     }
 
-    /** Ends so the first attempt of a read of each of these keys of cache 14; it is served elsewhere. */
-    private static void driveAll(World w, int from, int to, Outcome outcome) {
+    /** Reads some keys of cache server 14, ends each first attempt with the outcome and serves the retries. */
+    private static void endFirstAttempts(World w, int from, int to, Outcome outcome) {
         for (int i = from; i < to; i++) {
             w.drive(w.request(keyOf(14, i), 0), outcome);
         }
     }
 
-    /** The attempts that one mishap ends are one failure, and misses bring a cache back, if slowly. */
+    /**
+     * Attempts that fail together count as one failure, and an ejected cache server that answers with misses only is
+     * reinstated slowly.
+     */
     @Test
-    void aCacheThatWasLeftAloneComesBackByItsMisses() {
+    void anEjectedCacheIsReinstatedByMisses() {
         World w = World.single();
         w.homeOf(keyOf(14, 30));
-        w.homeOf(keyOf(14, 31)); // it has room for three by now
+        w.homeOf(keyOf(14, 31)); // the window has grown to three requests
         w.now += MS;
         List<Send> lost = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
@@ -199,11 +208,11 @@
             w.on(new ClientGone(trial));
         }
         w.request(keyOf(14, 20), 0);
-        assertEquals(14, w.sent(w.request(keyOf(14, 21), 0)).member(), "two at once");
+        assertEquals(14, w.sent(w.request(keyOf(14, 21), 0)).member(), "two requests in progress");
     }
 
     @Test
-    void aReadMovesOnWhileThereIsTimeForAnotherAnswerOrNotAtAll() {
+    void aReadGetsATimeoutOnlyWhileThereIsTimeForAnotherAnswer() {
         World w = World.single();
         for (long usual : new long[] {100, 300}) {
             for (int i = 0; i < 100; i++) {
@@ -217,7 +226,7 @@
     }
 
     @Test
-    void workForWhichNothingWasSentIsGivenUpAtHalfOfItsTime() {
+    void aRequestThatWasNeverSentIsDeclinedAtHalfOfItsTime() {
         World w = World.single();
         long r = 0;
         for (int i = 0; i < 100; i++) {
@@ -229,9 +238,12 @@
         assertTrue(w.refused(r));
     }
 
-    /** Guards against a list of caches that have gone, behind which those that are there are not found any more. */
+    /**
+     * Guards against a slot table that grows with every replaced cache server, until the hashes of a key only hit empty
+     * slots and the remaining servers are not found any more.
+     */
     @Test
-    void cachesThatAreReplacedAllDayAreForgottenAndTheRestKeepTheirKeys() {
+    void replacedCachesAreForgottenAndTheOthersKeepTheirKeys() {
         World w = World.single();
         Map<Long, Long> homes = new HashMap<>();
         int moved = 0;
@@ -302,9 +314,9 @@
     }
 
     @Test
-    void aCacheThatLosesWorkIsLeftAloneAndThenTried() {
+    void aCacheThatTimesOutIsEjectedAndThenTried() {
         World w = World.single();
-        w.homeOf(World.keyOf(14, 10)); // its connection is up
+        w.homeOf(World.keyOf(14, 10)); // establishes the connection
         w.now += 1000 * MS;
         for (int i = 0; i < 2; i++) {
             w.end(w.sent(w.request(World.keyOf(14, i), 0)), Outcome.TIMEOUT, 0, 400 * MS);
@@ -312,11 +324,11 @@
         }
         assertNotEquals(14, w.homeOf(World.keyOf(14, 2)));
         w.pass(9000 * MS);
-        assertEquals(14, w.homeOf(World.keyOf(14, 3)), "one request tries it");
+        assertEquals(14, w.homeOf(World.keyOf(14, 3)), "one request is sent as a trial");
     }
 
     @Test
-    void aCacheThatAnswersFullIsLeftAloneForARest() {
+    void aCacheThatAnswersFullIsEjected() {
         World w = World.single();
         long home = w.homeOf(1000);
         w.end(w.sent(w.request(1000, 0)), Outcome.FULL, 0, MS);
@@ -325,7 +337,7 @@
     }
 
     @Test
-    void whereRequestsAreSeldomOneRefusedConnectionEjects() {
+    void whereRequestsAreRareOneRefusedConnectionEjects() {
         World w = new World(World.settings(0, 1, false, List.of()), 7);
         w.fleet(50);
         w.pass(2000 * MS);
@@ -335,7 +347,7 @@
     }
 
     @Test
-    void whereRequestsAreSeldomALostOneEjectsUnlessItsKeyIsPopular() {
+    void whereRequestsAreRareATimeoutEjectsUnlessItsKeyIsPopular() {
         World w = new World(World.settings(0, 1, false, List.of()), 7);
         w.fleet(52);
         for (int i = 0; i < 2000; i++) {
@@ -355,12 +367,12 @@
     }
 
     @Test
-    void workThatTheCachesCannotTakeIsFetchedWhileSupplyIsLeft() {
+    void requestsWithoutRoomAtACacheAreFetchedWhileSupplyIsLeft() {
         World w = World.single();
         for (long key = 1; key <= 50; key++) {
-            w.homeOf(key); // the caches have answered before, and so has the origin
+            w.homeOf(key); // the cache servers have answered before, and so has the origin
         }
-        writes(w, 20, Outcome.OK, 20 * MS);
+        sendWrites(w, 20, Outcome.OK, 20 * MS);
         w.pass(1000 * MS);
         int fetched = 0;
         int refused = 0;
@@ -370,7 +382,7 @@
             refused += w.refused(r) ? 1 : 0;
         }
         assertTrue(fetched >= 2, fetched + " fetched");
-        assertTrue(refused > 0, "no more than supply");
+        assertTrue(refused > 0, "fetches do not exceed the supply");
     }
 
     @Test
@@ -388,7 +400,7 @@
     }
 
     @Test
-    void missesDoNotHideThatACacheIsOverrun() {
+    void missesDoNotHideThatACacheIsOverloaded() {
         World w = World.single();
         for (int i = 0; i < 2; i++) {
             w.end(w.sent(w.request(World.keyOf(14, i), 0)), Outcome.MISS, 0, MS);
@@ -401,7 +413,7 @@
     }
 
     @Test
-    void aSlowCacheGetsLessOfOurWorkAtOnce() {
+    void aSlowCacheGetsFewerConcurrentRequests() {
         World w = World.single();
         long key = 1000;
         long home = w.homeOf(key);
@@ -418,42 +430,42 @@
             Send s = w.sent(w.request(key, 0));
             there += s != null && s.member() == home ? 1 : 0;
         }
-        assertTrue(there <= 1, there + " at once");
+        assertTrue(there <= 1, there + " in progress");
     }
 
     @Test
-    void refusedConnectionsAtTheOriginShrinkOurWorkThereAndNotR() {
+    void refusedConnectionsNarrowTheWindowOfTheOriginAndNotR() {
         World w = World.single();
         w.pass(1000 * MS);
         w.end(w.sent(w.request(1, 1)), Outcome.CONNECT_FAILED, 0, 0);
-        assertEquals(40, rate(w), "R stays");
+        assertEquals(40, rate(w), "R is unchanged");
         w.pass(2000 * MS);
         int out = 0;
         for (long key = 100; key <= 120; key++) {
             out += w.sends(w.request(key, 1)) > 0 ? 1 : 0;
         }
-        assertTrue(out < 8, out + " at once");
+        assertTrue(out < 8, out + " in progress");
     }
 
     @Test
     void rIsNotCutAgainOnFetchTimesFromBeforeTheCut() {
         World w = World.single();
         w.pass(1000 * MS);
-        writes(w, 40, Outcome.OK, 20 * MS);
+        sendWrites(w, 40, Outcome.OK, 20 * MS);
         double before = rate(w);
-        writes(w, 20, Outcome.OK, 300 * MS);
+        sendWrites(w, 20, Outcome.OK, 300 * MS);
         double cut = rate(w);
         assertTrue(cut < before, "a slow origin cuts R: " + before + " to " + cut);
-        writes(w, 10, Outcome.OK, 20 * MS);
+        sendWrites(w, 10, Outcome.OK, 20 * MS);
         double after = rate(w);
-        writes(w, 10, Outcome.OK, 20 * MS);
+        sendWrites(w, 10, Outcome.OK, 20 * MS);
         w.pass(5000 * MS);
-        writes(w, 10, Outcome.OK, 20 * MS);
+        sendWrites(w, 10, Outcome.OK, 20 * MS);
         double later = rate(w);
         assertTrue(later >= after, after + " fell to " + later);
     }
 
-    /** R as the router has learned it. */
+    /** Returns R, the rate of origin fetches per second that the router has learned. */
     private static double rate(World w) {
         return SupplyTest.accounts(w.brain).get(0).rate;
     }
@@ -462,8 +474,8 @@
     void rDoesNotGrowWhileFetchesAreSlowerThanUsual() {
         World w = World.single();
         w.pass(1000 * MS);
-        writes(w, 40, Outcome.OK, 50 * MS);
-        writes(w, 30, Outcome.OK, 100 * MS);
+        sendWrites(w, 40, Outcome.OK, 50 * MS);
+        sendWrites(w, 30, Outcome.OK, 100 * MS);
         double before = rate(w);
         for (long key = 1; key <= 90; key++) {
             Send s = w.sent(w.request(key, 1));
@@ -479,17 +491,17 @@
     void rComesBackFromADeepCutOnceTheOriginIsQuickAgain() {
         World w = World.single();
         w.pass(1000 * MS);
-        writes(w, 40, Outcome.OK, 20 * MS);
-        writes(w, 100, Outcome.TIMEOUT, 400 * MS);
+        sendWrites(w, 40, Outcome.OK, 20 * MS);
+        sendWrites(w, 100, Outcome.TIMEOUT, 400 * MS);
         double deep = rate(w);
         assertTrue(deep < 10, "cut to " + deep);
-        writes(w, 200, Outcome.OK, 20 * MS);
+        sendWrites(w, 200, Outcome.OK, 20 * MS);
         double back = rate(w);
         assertTrue(back > 6 * deep, deep + " came back to " + back);
     }
 
-    /** A write every 50 ms; each that is sent, at once or later, ends so. */
-    private static void writes(World w, int count, Outcome outcome, long took) {
+    /** Sends a write every 50 ms; each attempt, begun at once or later, ends with the outcome after {@code took} ns. */
+    private static void sendWrites(World w, int count, Outcome outcome, long took) {
         List<Long> open = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             open.add(w.request(1 + w.now, 1));
@@ -504,7 +516,7 @@
     }
 
     @Test
-    void aFetchThatFillsACacheIsLetFinishWhileTheOriginIsSlowerThanTheAim() {
+    void aFetchThatFillsACacheIsNotCancelledWhileTheOriginIsSlowerThanTheAim() {
         World w = World.single();
         w.pass(1000 * MS);
         int cancelled = 0;
@@ -525,7 +537,7 @@
     }
 
     @Test
-    void whatWasHeldLastIsReleasedFirst() {
+    void theLatestRequestThatWaitsForSupplyIsSentFirst() {
         World w = World.single();
         List<Long> held = new ArrayList<>();
         for (long key = 1; held.size() < 10; key++) {
@@ -541,7 +553,7 @@
     }
 
     @Test
-    void aTryWithHardlyAnyTimeLeftIsAnsweredAtOnce() {
+    void aRequestWithHardlyAnyTimeLeftIsAnsweredAtOnce() {
         World w = World.single();
         for (long key = 1; key <= 200; key++) {
             w.request(key, 1);
@@ -551,7 +563,7 @@
     }
 
     @Test
-    void copiesOfAHotKeyThatMissAreGivenUp() {
+    void replicasOfAHotKeyThatMissAreAbandoned() {
         World w = World.single();
         w.pass(1000 * MS);
         for (int i = 0; i < 60; i++) {
@@ -603,7 +615,7 @@
     void idleConnectionsAreClosedOnlyToTheMemberThatRefusedOne() {
         World w = World.single();
         w.end(w.sent(w.request(keyOf(10, 0), 0)), Outcome.CONNECT_FAILED, 0, MS);
-        w.pass(9_000 * MS); // it is tried again by then
+        w.pass(9_000 * MS); // the ejection is over by then
         for (long cache = 10; cache < 12; cache++) {
             List<Action> after = w.end(w.sent(w.request(keyOf(cache, 1), 0)), Outcome.OK, 0, 5 * MS);
             assertEquals(cache == 10, after.contains(new CloseIdle(cache)), "cache " + cache);
@@ -611,7 +623,7 @@
     }
 
     @Test
-    void bunchedClientsOfATenantAreNotOverItsShare() {
+    void aBurstOfATenantIsNotOverItsShare() {
         List<Tenant> tenants = List.of(new Tenant("a", 2, 1));
         World w = new World(World.settings(0, 1, false, tenants), 3);
         w.fleet(4);
@@ -622,7 +634,7 @@
         }
     }
 
-    /** Makes most attempts fail for a while, below the point where work within share is cut. */
+    /** Makes attempts fail for a while, at a ratio below that at which requests within their share are shed. */
     private static void collapse(World w) {
         for (int i = 0; i < 30; i++) {
             Send s = w.sent(w.request(3000 + i, 0));
@@ -698,7 +710,7 @@
         long write = w.request(1234, 2);
         assertEquals(home, w.sent(write).member());
         w.end(w.sent(write), Outcome.ERROR, 0, MS);
-        assertEquals(1, w.sends(write), "it may have run");
+        assertEquals(1, w.sends(write), "the write may have run");
         assertTrue(w.failed(write));
     }
 
@@ -721,7 +733,7 @@
     }
 
     @Test
-    void legalOdditiesAreHarmless() {
+    void unexpectedButLegalEventsAreIgnored() {
         World w = World.single();
         long r = w.request(1000, 0);
         Send s = w.sent(r);
@@ -749,9 +761,9 @@
         assertEquals(first, rate(idle));
     }
 
-    /** What is open keeps its class and how often it may be tried; what comes has the new. */
+    /** Open requests keep the class and the attempt limit with which they arrived; later requests get the new ones. */
     @Test
-    void newSettingsBindWhatComesAndNotWhatIsOpen() {
+    void newSettingsApplyToLaterRequestsOnly() {
         World w = World.single();
         long before = w.request(World.keyOf(10, 0), 0);
         Settings old = World.settings(0, 1, false, List.of());
@@ -778,12 +790,15 @@
         assertThat(w.failed(after)).as("it must not run twice now").isTrue();
     }
 
-    /** In its first second a router cannot tell how seldom a server is asked: it is not left alone for longer by that. */
+    /**
+     * In its first second a router cannot estimate how rarely a server gets requests, so the length of an ejection must
+     * not depend on that rate yet.
+     */
     @Test
     void aFirstFailureDoesNotCostAServerManySeconds() {
         World w = World.single();
         w.end(w.sent(w.request(keyOf(10, 0), 0)), Outcome.OK, 0, 5 * MS);
-        w.pass(300 * MS); // one interval, in which one came
+        w.pass(300 * MS); // one interval with one request
         w.end(w.sent(w.request(keyOf(10, 1), 0)), Outcome.FULL, 0, 5 * MS);
         assertThat(w.homeOf(keyOf(10, 2))).isNotEqualTo(10);
         w.pass(1100 * MS);
