--- a/src/main/java/slateseam/tier/policy/AcceptedRouters.java
+++ b/src/main/java/slateseam/tier/policy/AcceptedRouters.java
@@ -4,30 +4,36 @@
 import java.util.BitSet;
 
 /**
- * The routers that take a version, and how a datagram tells of them. Up to {@link #MOST_AS_BITS} routers it is a bit for each. Beyond
- * that it is a block of a fixed length, which is longer than any such bits and told by that. Where few ranges of router numbers hold
- * all, the block is these, unused ones empty. Else it is a bit for each router of a window, and each message tells of
- * the next window. A message may so tell of fewer routers than have accepted, and never of one that has not.
+ * The set of routers that have accepted a version, and its encoding in a datagram.
+ *
+ * <p>If all router numbers are below {@link #MOST_AS_BITS}, the encoding is a bitmap. Otherwise it is a block of
+ * fixed length, which a reader recognises because it is longer than any such bitmap. The block holds the set as
+ * ranges of router numbers, with unused ranges left empty, if few enough ranges cover the set. If not, the block is a
+ * bitmap of one window of router numbers, and successive messages carry successive windows. A message may therefore
+ * list fewer routers than have accepted, but never one that has not.
  */
 final class AcceptedRouters {
-    /** As many routers as are told as a bit each. */
+    /** Number of routers up to which the set is encoded as a plain bitmap. */
     static final int MOST_AS_BITS = 1_024;
 
     static final int MOST_BIT_BYTES = MOST_AS_BITS / Byte.SIZE;
-    /** A first router and how many there are from it on. */
+    /** Size of a range: its first router and the number of routers, two bytes each. */
     private static final int RANGE_BYTES = 2 * Short.BYTES;
-    /** The fewest that are longer than all bits, as the cause of a refusal shares the datagram. */
+    /**
+     * Number of ranges in a block: the smallest that makes the block longer than any plain bitmap, because the cause
+     * of a refusal shares the datagram.
+     */
     private static final int RANGES = MOST_BIT_BYTES / RANGE_BYTES + 1;
 
     private static final int BLOCK_BYTES = RANGES * RANGE_BYTES;
-    /** In place of a range's first router: bits of a window follow, behind the number of the window. */
+    /** Stands in place of the first range's first router; the window's number and its bitmap follow. */
     private static final short WINDOW_MARK = -1;
 
     private static final int WINDOW_BYTES = BLOCK_BYTES - RANGE_BYTES;
     private static final int WINDOW_ROUTERS = WINDOW_BYTES * Byte.SIZE;
 
     private final BitSet routers = new BitSet();
-    /** The window that the next message tells of, where it tells of one. */
+    /** Number of the window that the next message carries, if the set has to be sent as windows. */
     private int window;
 
     void clear() {
@@ -43,7 +49,7 @@
         return routers.get(router);
     }
 
-    /** What the next message tells. */
+    /** Returns the encoding for the next message; each call moves on to the next window if windows are needed. */
     byte[] encode() {
         if (routers.length() <= MOST_AS_BITS) {
             return routers.toByteArray();
@@ -52,7 +58,7 @@
         return ranges == null ? encodeWindow() : ranges;
     }
 
-    /** All as ranges; null if they do not fit. */
+    /** Returns the whole set encoded as ranges, or null if it has too many ranges for a block. */
     private byte[] encodeRanges() {
         ByteBuffer out = ByteBuffer.allocate(BLOCK_BYTES);
         int next = 0;
@@ -78,7 +84,7 @@
         return block;
     }
 
-    /** Adds those of whom a message tells. */
+    /** Adds the routers that are listed in a received message. */
     void addAll(byte[] told) {
         if (told.length <= MOST_BIT_BYTES) {
             routers.or(BitSet.valueOf(told));
--- a/src/main/java/slateseam/tier/policy/Command.java
+++ b/src/main/java/slateseam/tier/policy/Command.java
@@ -4,18 +4,24 @@
 import java.util.Arrays;
 import slateseam.tier.agreement.Entry;
 
-/** What is written into the log about versions. */
+/** A command about policy versions in the replicated log. */
 sealed interface Command {
-    /** A version is proposed; its number is given by its place in the log. */
+    /** Proposes a version, which gets its number when the command is applied, by its position in the log. */
     record Propose(Version version) implements Command {}
 
-    /** A version was decided on. */
+    /**
+     * Commits or aborts a version.
+     *
+     * @param number the number of the version
+     * @param cause why the version was aborted, or was committed without some routers; empty for a commit by all
+     * @param before the shares of requests served and refused before the commit, as {@link Version#before()}
+     */
     record Decide(int number, boolean committed, String cause, byte[] before) implements Command {}
 
-    /** A version is watched no longer. */
+    /** Ends the time in which a committed version is watched for a fall of the served share. */
     record Settle(int number) implements Command {}
 
-    /** A proposal was turned down before it was one. */
+    /** Rejects a proposal before it becomes a version. */
     record Reject(String name, byte[] hash, String cause) implements Command {}
 
     default byte[] encode() {
--- a/src/main/java/slateseam/tier/policy/DocumentStore.java
+++ b/src/main/java/slateseam/tier/policy/DocumentStore.java
@@ -13,21 +13,25 @@
 import java.util.function.BiConsumer;
 
 /**
- * Documents and states by their hashes: what is here, and what is being got from another router, in parts that fit into datagrams. What
- * does not have the hash that was asked for is thrown away.
+ * Content-addressed store of policy documents and encoded states, by hash. It fetches missing contents from other
+ * routers in parts that fit into datagrams, and discards a content that does not have the requested hash.
  */
 final class DocumentStore {
-    /** Of one content. */
+    /** Maximum size of one content. */
     static final int MOST_BYTES = 96 * 1024;
 
+    /** Size of a part; only the last part of a content may be shorter. */
     static final int PART_BYTES = 192;
+
     private static final int MOST_WANTED = 4;
     private static final int MOST_KEPT = 24;
-    /** Parts that were asked for and have not come. */
+    /** Maximum number of parts of one content that are requested and not yet received. */
     private static final int MOST_UNDER_WAY = 32;
 
+    /** Time after which a part that has not arrived is requested again. */
     private static final long AGAIN_NANOS = 120_000_000L;
 
+    /** A content that is being fetched. */
     private static final class Wanted {
         final byte[] bytes;
         final BitSet come = new BitSet();
@@ -59,11 +63,15 @@
         try {
             return Arrays.copyOf(MessageDigest.getInstance("SHA-256").digest(bytes), Version.HASH_BYTES);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // each virtual machine has it
+            throw new IllegalStateException(e); // every Java platform must support SHA-256
         }
     }
 
-    /** Keeps it; its hash. */
+    /**
+     * Stores a content, and evicts the least recently used contents that are not pinned if too many are stored.
+     *
+     * @return the hash of the content
+     */
     byte[] put(byte[] bytes) {
         byte[] hash = hash(bytes);
         kept.put(ByteBuffer.wrap(hash), bytes);
@@ -75,17 +83,21 @@
         return hash;
     }
 
-    /** These are not let go, however many come. */
+    /** Sets the hashes of the contents that are never evicted; they replace the hashes that were pinned before. */
     void pin(Set<ByteBuffer> some) {
         pinned = some;
     }
 
-    /** Null if it is not here. */
+    /** Returns a content by its hash, or null if it is not stored here. */
     byte[] get(byte[] hash) {
         return kept.get(ByteBuffer.wrap(hash));
     }
 
-    /** Gets it from a router, unless it is here; from another one if it was asked of one that did not have it. */
+    /**
+     * Starts to fetch a content from a router, unless it is already stored. If the content is already being fetched,
+     * the remaining parts are requested from the given router from now on, as the router asked before may not have
+     * the content.
+     */
     void want(byte[] hash, int length, int from) {
         ByteBuffer key = ByteBuffer.wrap(hash);
         if (kept.containsKey(key) || length < 0 || length > MOST_BYTES) {
@@ -107,6 +119,7 @@
         ask(hash, one);
     }
 
+    /** Requests missing parts, up to the limit of parts under way. */
     private void ask(byte[] hash, Wanted one) {
         int underWay = 0;
         for (int i = 0; i < one.askedAt.length; i++) {
@@ -126,12 +139,13 @@
         }
     }
 
+    /** Advances the clock, and requests again the parts that have not arrived in time. */
     void tick(long nanos) {
         now = nanos;
         wanted.forEach((key, one) -> ask(key.array(), one));
     }
 
-    /** Another asks for parts. */
+    /** Handles another router's request for parts: sends the requested parts that are stored here. */
     void asked(int from, PolicyMessage.Want want) {
         byte[] bytes = get(want.hash());
         for (int part : want.parts()) {
@@ -147,7 +161,11 @@
         }
     }
 
-    /** A part came; whether with it all is here. */
+    /**
+     * Handles a received part.
+     *
+     * @return whether the content is complete with this part, and has the requested hash
+     */
     boolean came(PolicyMessage.Part part) {
         ByteBuffer key = ByteBuffer.wrap(part.hash());
         Wanted one = wanted.get(key);
@@ -166,7 +184,7 @@
         }
         wanted.remove(key);
         if (!Arrays.equals(hash(one.bytes), part.hash())) {
-            return false; // it is asked for anew by whoever needs it
+            return false; // damaged: whoever needs the content will ask for it again
         }
         put(one.bytes);
         return true;
--- a/src/main/java/slateseam/tier/policy/Policy.java
+++ b/src/main/java/slateseam/tier/policy/Policy.java
@@ -18,21 +18,26 @@
 import slateseam.tier.agreement.Voter;
 
 /**
- * One router's part in the policy of the tier: what it knows of versions and how old that is, which one it serves by, whether it may
- * serve at all, and, where it votes or leads, its part in deciding. Not thread-safe.
+ * One router's participant in the shared policy of the tier. It tracks the versions known to this router and how
+ * recent that knowledge is, which version is in effect here, and whether the router may serve requests at all. At a
+ * voter or leader it also takes part in deciding on versions through the replicated log. Not thread-safe.
  */
 public final class Policy {
     private static final long MILLI = 1_000_000L;
+    /** Interval between the leader's checks for voters to admit or replace. */
     private static final long ADMIT_NANOS = 300 * MILLI;
-    /** What one said of its memory before may be over. */
+    /** Time for which a reported identity of a durable state is used; the router may lose that state at any time. */
     private static final long MEMORY_NANOS = 2_000 * MILLI;
 
+    /** Interval at which a proposal is repeated until its outcome is known. */
     private static final long ASK_NANOS = 300 * MILLI;
+    /** Maximum number of polls whose reply is still accepted; the oldest are forgotten first. */
     private static final int MOST_UNANSWERED = 64;
+
     private static final long NEVER = Long.MIN_VALUE / 4;
     private static final long UNKNOWN = Long.MAX_VALUE;
 
-    /** A newer state than is here, which is being got. */
+    /** A newer state that is being fetched, when it was proven the newest, and when its newest version takes effect. */
     private record Newer(PolicyMessage.Word word, long provenAt, long holdsAt) {}
 
     private final PolicySettings settings;
@@ -43,17 +48,19 @@
     private final Shares shares = new Shares();
     private final Tree tree;
     private final PolicyCoordinator steward;
-    /** Polls that are out: when each was sent. */
+    /** Send times of the polls that are not answered yet, by sequence number. */
     private final TreeMap<Integer, Long> polls = new TreeMap<>();
-    /** Who said that it knows of no group. */
+    /** Routers that have answered that they know of no group. */
     private final Set<Integer> without = new HashSet<>();
 
+    /** Identity of each router's durable state, as the router last reported it. */
     private final Map<Integer, Long> memories = new HashMap<>();
+
     private final Map<Integer, Long> memoriesAt = new HashMap<>();
     private Raft raft;
-    /** By the log, where it votes or is to. */
+    /** Versions by the replicated log, if this router votes or is to become a voter. */
     private Versions replica = new Versions();
-    /** By what others have told. */
+    /** Versions as learned from other routers. */
     private Versions learned = new Versions();
 
     private Newer newer;
@@ -63,12 +70,13 @@
     private Set<Integer> alive = Set.of();
     private boolean sure;
     private long now;
+    /** The latest time for which it is proven that this router knew everything that was decided. */
     private long knownAt = NEVER;
-    /** The same before the newest version was known here. */
+    /** The value of {@link #knownAt} before the newest version became known here. */
     private long knownBefore = NEVER;
-    /** When versions that were committed hold, those that do not hold here yet; {@link #UNKNOWN} for one that may hold already. */
+    /** When committed versions not in effect here take effect; {@link #UNKNOWN} if that may have happened elsewhere. */
     private final TreeMap<Integer, Long> pending = new TreeMap<>();
-    /** The newest that was committed, as far as is known here. */
+    /** Number of the newest committed version known here; 0 for none. */
     private int newest;
 
     private Version held;
@@ -86,9 +94,10 @@
     private String cannot = "";
 
     /**
-     * Begins.
+     * Creates the participant of one router.
      *
-     * @param memory of the voter, as its disk had it; null for none that can be relied on
+     * @param memory the voter's durable state as read from disk; null if there is none that can be relied on
+     * @param now the current time in nanoseconds
      */
     public Policy(PolicySettings settings, DurableState memory, long now, RandomGenerator random, PolicyPort port) {
         this.settings = settings;
@@ -107,7 +116,7 @@
         }
     }
 
-    /** Its part in the log's protocol. */
+    /** Connects the replicated log to this policy: transport, durable state and the versions as the state machine. */
     private final class Log implements RaftPort {
         @Override
         public void send(Voter to, Rpc message) {
@@ -159,7 +168,7 @@
 
     private String lost;
 
-    /** A memory begins, as another seat. */
+    /** Starts with an empty durable state of a new identity, which makes this router another voter to the log. */
     private void remember() {
         DurableState stable = new DurableState();
         DurableState.Begin begin = new DurableState.Begin(0, new Voter(settings.me(), 1 + (random.nextLong() >>> 2)));
@@ -168,6 +177,7 @@
         port.persist(0, begin);
     }
 
+    /** Discards a lost durable state, and keeps the versions that were known as learned from others. */
     private void forget() {
         port.tell("policy-memory", "lost=\"" + lost + "\"");
         port.forget(lost);
@@ -177,24 +187,25 @@
         remember();
     }
 
-    /** Changes of the voter's memory up to this number last. */
+    /** Reports that changes of the voter's durable state up to this number are on disk. */
     public void persisted(long number) {
         raft.persisted(number);
         after();
     }
 
-    /** Who is there, by the members' view, with this router; and whether it trusts that. */
+    /** Sets the routers that are alive, including this one, and whether that view can be relied on. */
     public void view(Set<Integer> routers, boolean trusted) {
         alive = routers;
         sure = trusted;
         tree.alive(routers);
     }
 
+    /** Returns the versions with the higher revision of the log's and the learned ones. */
     private Versions current() {
         return learned.revision() > replica.revision() ? learned : replica;
     }
 
-    /** Time goes on; to be called every 50 ms or so. */
+    /** Advances the clock and does the periodic work; must be called about every 50 ms. */
     public void tick(long nanos) {
         now = nanos;
         contents.tick(now);
@@ -204,9 +215,8 @@
         boolean leads = raft.role() == Raft.Role.LEADER;
         if (leads) {
             if (holdsAt() == UNKNOWN) {
-                pending.put(
-                        newest,
-                        now + settings.holdNanos()); // nobody tells a leader; by then it holds wherever it was known
+                // No router tells a leader when a version takes effect; by then it is in effect wherever it is known.
+                pending.put(newest, now + settings.holdNanos());
             }
             proven();
             if (raft.provenAt() >= 0) {
@@ -232,13 +242,16 @@
         after();
     }
 
-    /** What the leader knows by itself. */
+    /** Updates {@link #knownAt} at the leader, which proves by the log that its knowledge is the newest. */
     private void proven() {
         if (raft.role() == Raft.Role.LEADER && raft.provenAt() >= 0) {
             knownAt = Math.max(knownAt, raft.provenAt());
         }
     }
 
+    /**
+     * Polls the router above this one in the tree, or while there is no group any router that has not answered yet.
+     */
     private void poll() {
         int parent = group == 0 ? tree.next(without) : tree.parent(leader(), voting());
         if (parent < 0) {
@@ -275,7 +288,8 @@
     }
 
     private int leader() {
-        // Guards against one that was to be taken in by a leader that leads no longer: the next does not know of it.
+        // A learner prefers the leader that poll replies name: the leader that was to admit it may no longer lead,
+        // and the next one does not know of it.
         boolean follows = raft.leader() != null && raft.role() != Raft.Role.LEARNER;
         return follows || leader < 0 && raft.leader() != null ? raft.leader().router() : leader;
     }
@@ -286,7 +300,7 @@
         return routers.isEmpty() ? voting : routers;
     }
 
-    /** A datagram came from a router. */
+    /** Handles a datagram that was received from a router. */
     public void heard(long nanos, int from, byte[] datagram) {
         now = nanos;
         if (datagram.length > 0 && datagram[0] == Rpc.MAGIC) {
@@ -311,11 +325,12 @@
         after();
     }
 
-    /** The first bytes of all its datagrams, by which they are told from others. */
+    /** Returns the possible first bytes of this protocol's datagrams, which distinguish them from other datagrams. */
     public static byte[] firstBytes() {
         return new byte[] {Rpc.MAGIC, PolicyMessage.MAGIC};
     }
 
+    /** Handles a poll: records the reported verdicts and sums, and replies with the newest state known here. */
     private void polled(int from, PolicyMessage.Poll poll) {
         memories.put(from, poll.memory());
         memoriesAt.put(from, now);
@@ -346,7 +361,7 @@
                         .encode());
     }
 
-    /** The state as others get it, worked out when it has changed. */
+    /** Encodes and stores the state for other routers to fetch, if it has changed since the last call. */
     private void state() {
         if (stateRevision != current().revision()) {
             stateRevision = current().revision();
@@ -356,6 +371,7 @@
         }
     }
 
+    /** Handles the reply to a poll. */
     private void told(int from, PolicyMessage.Word word) {
         Long sentAt = polls.remove(word.sequence());
         if (sentAt == null) {
@@ -386,7 +402,7 @@
         long provenAt = sentAt - word.ageMillis() * MILLI;
         long itHoldsAt = now + word.holdsInMillis() * MILLI;
         if (word.revision() <= current().revision()) {
-            // Whoever has more has all that was decided until then.
+            // A router with the same or a higher revision knows everything that was decided up to that time.
             knownAt = Math.max(knownAt, provenAt);
             if (word.revision() == current().revision()) {
                 holdsNoLater(itHoldsAt);
@@ -397,7 +413,10 @@
         }
     }
 
-    /** Takes up what has come meanwhile. */
+    /**
+     * Applies what has changed since the last call: takes over a fetched state, examines the open version, puts
+     * versions into effect whose time has come, and reports when the router starts or stops serving.
+     */
     private void after() {
         if (lost != null) {
             forget();
@@ -416,7 +435,7 @@
         pin(versions);
         examine(versions.open());
         if (now >= holdsAt()) {
-            pending.headMap(newest).clear(); // what came before it is over
+            pending.headMap(newest).clear(); // superseded by the newest version
         }
         while (!pending.isEmpty()
                 && now >= pending.firstEntry().getValue()
@@ -431,7 +450,7 @@
         }
     }
 
-    /** Versions were committed that were not known here; all but the newest may hold elsewhere since long. */
+    /** Records newly learned versions; all but the newest may have been in effect elsewhere for a long time. */
     private void learn(Versions versions, Version last) {
         for (Version one : versions.all()) {
             if (one.isDecidedFor() && one.number() > newest && one.number() != last.number()) {
@@ -439,11 +458,12 @@
             }
         }
         newest = last.number();
-        // It was committed after what was known before, so it holds nowhere before this; who knew nothing cannot tell.
+        // The newest version was committed after the time up to which this router knew everything, so it takes
+        // effect nowhere earlier than the hold time after that. A router that knew nothing cannot tell.
         pending.put(newest, knownBefore == NEVER ? UNKNOWN : knownBefore + settings.holdNanos());
     }
 
-    /** Another knows when the newest holds. */
+    /** Lowers the time at which the newest version takes effect here to the time that another router has told. */
     private void holdsNoLater(long at) {
         if (pending.containsKey(newest) && at < pending.get(newest)) {
             pending.put(newest, at);
@@ -454,6 +474,7 @@
         return pending.getOrDefault(newest, NEVER);
     }
 
+    /** Takes over the newer state, if it has been fetched. */
     private void adopt() {
         if (newer == null) {
             return;
@@ -472,6 +493,7 @@
         }
     }
 
+    /** Protects the contents that are still needed from eviction. */
     private void pin(Versions versions) {
         Set<ByteBuffer> some = new HashSet<>();
         for (Version one : new Version[] {
@@ -491,7 +513,7 @@
         contents.pin(some);
     }
 
-    /** Looks at the version that is open: whether this router takes it. */
+    /** Checks the open version's document, and records whether this router accepts or refuses the version. */
     private void examine(Version open) {
         int number = open == null ? 0 : open.number();
         if (verdicts.number() != number) {
@@ -508,10 +530,11 @@
             } else {
                 verdicts.refuse(settings.me(), wrong);
             }
-            nextPoll = Math.min(nextPoll, now); // so that it is known at once
+            nextPoll = Math.min(nextPoll, now); // reports the verdict at once
         }
     }
 
+    /** Returns a version's document; if it is not stored here, starts to fetch it and returns null. */
     private byte[] document(Version version) {
         byte[] document = contents.get(version.hash());
         if (document == null) {
@@ -524,6 +547,7 @@
         return document;
     }
 
+    /** Puts a version into effect; returns false if its document is not here or this router cannot apply it. */
     private boolean hold(Version version) {
         byte[] document = version == null ? null : document(version);
         String wrong = document == null ? "" : port.check(document);
@@ -532,7 +556,8 @@
                     ? null
                     : "version=" + version.number() + " fault=\"" + wrong + "\"";
             if (told != null && !told.equals(cannot)) {
-                cannot = told; // it was away when it was decided, and can serve by none now
+                // This router was away when the version was committed, and can serve by no version now.
+                cannot = told;
                 port.tell("policy-cannot", told);
             }
             return false;
@@ -543,7 +568,11 @@
         return true;
     }
 
-    /** Whether requests may be served by what is in force here. */
+    /**
+     * Returns whether this router may serve requests now. It may while its knowledge is not older than the lease and
+     * no other version may already be in effect elsewhere; or if the version in effect here may be served when stale;
+     * or, without a group, if a majority of the routers know of no group either.
+     */
     public boolean mayServe(long nanos) {
         if (group == 0) {
             return isWithout();
@@ -558,12 +587,12 @@
         return known && holds;
     }
 
-    /** Whether most have said that they know of no group: then each serves by its own file. */
+    /** Returns whether a majority of routers know of no group; each router then serves by its own settings file. */
     private boolean isWithout() {
         return 2 * (without.size() + 1) > settings.routers();
     }
 
-    /** Whether it serves by a version of which it cannot know whether it is the newest. */
+    /** Returns whether this router serves by a version that it can no longer prove to be the newest. */
     public boolean isStale(long nanos) {
         return group != 0
                 && held != null
@@ -571,13 +600,13 @@
                 && (knownAt == NEVER || nanos - knownAt > settings.leaseNanos());
     }
 
-    /** Begins a group, in which the voters that are named are taken in one by one; why it cannot, or null. */
+    /** Creates the group, which then admits the configured voters one by one; returns why it cannot, or null. */
     public String begin() {
         if (group != 0) {
             return "there is a group: " + Long.toHexString(group);
         }
         if (!settings.voters().contains(settings.me())) {
-            return "router " + settings.me() + " is not among those that are to vote";
+            return "router " + settings.me() + " is not one of the configured voters";
         }
         if (!sure || alive.size() < settings.routers() || without.size() < settings.routers() - 1) {
             return "not all routers are there: " + alive.size() + " of " + settings.routers() + ", and "
@@ -588,7 +617,11 @@
         return null;
     }
 
-    /** Proposes a document, until it is known what became of it; the version as it was asked for. */
+    /**
+     * Proposes a document, and repeats it until its outcome is known; {@link Version} explains the parameters.
+     *
+     * @return the version as it was proposed, for {@link #outcome}
+     */
     public Version propose(
             String name, byte[] document, boolean all, boolean stale, int watchSeconds, int boundPoints) {
         Version version = new Version(
@@ -610,7 +643,7 @@
         return version;
     }
 
-    /** Proposes to take the newest version back; null if there is none. */
+    /** Proposes to undo the newest version; returns the proposal, or null if no version was committed yet. */
     public Version undo() {
         Version last = current().newest();
         if (last == null) {
@@ -641,7 +674,7 @@
         }
     }
 
-    /** What became of a proposal: a version's state, why it was turned down, or null while that is not known. */
+    /** Returns the outcome of a proposal: the version's state or why it was rejected; null while it is not known. */
     public String outcome(Version asked) {
         Version version = current().find(asked.name());
         if (version != null && version.isLike(asked.name(), asked.hash())) {
@@ -653,42 +686,42 @@
         return rejected == null ? null : "rejected: " + rejected;
     }
 
-    /** All versions that it knows of. */
+    /** Returns all versions that are known to this router. */
     public Versions versions() {
         return current();
     }
 
-    /** The version that is served by; null for what the router's own file says. */
+    /** Returns the version in effect here; null if the router's own settings file is in effect. */
     public Version held() {
         return held;
     }
 
-    /** A document by its version; null if it is not here. */
+    /** Returns the document of a version; null if it is not stored here. */
     public byte[] documentOf(Version version) {
         return contents.get(version.hash());
     }
 
-    /** How old what it knows is, in nanoseconds; -1 if it knows nothing. */
+    /** Returns the age of this router's knowledge in nanoseconds; -1 if it knows nothing. */
     public long age(long nanos) {
         return knownAt == NEVER ? -1 : nanos - knownAt;
     }
 
-    /** How long until the newest version holds; 0 if it does. */
+    /** Returns the nanoseconds until the newest version takes effect; 0 if it is in effect. */
     public long holdsIn(long nanos) {
         return Math.max(0, holdsAt() - nanos);
     }
 
-    /** Its part in the log's protocol. */
+    /** Returns this router's instance of the log protocol. */
     public Raft raft() {
         return raft;
     }
 
-    /** The group that it is in; 0 for none. */
+    /** Returns the identifier of the group that this router belongs to; 0 for none. */
     public long group() {
         return group;
     }
 
-    /** Who takes the open version and who does not, for people. */
+    /** Describes in words which routers accept the open version, or which one refuses it and why. */
     public String verdicts() {
         return verdicts.number() == 0
                 ? "none"
--- a/src/main/java/slateseam/tier/policy/PolicyCoordinator.java
+++ b/src/main/java/slateseam/tier/policy/PolicyCoordinator.java
@@ -7,11 +7,18 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** What the leader decides: whether a proposal is one, what becomes of it, and whether what holds is taken back. */
+/**
+ * The leader's decisions on versions: accepts or rejects proposals, commits or aborts the open version, and watches
+ * the newest version and undoes it if the served share falls too far.
+ */
 final class PolicyCoordinator {
     private static final long SECOND = 1_000_000_000L;
+    /** Minimum interval between two writes of the same command, as the first may not be applied yet. */
     private static final long AGAIN_NANOS = SECOND;
-    /** Whoever is alive may have just come, and be known to some only. */
+    /**
+     * Maximum number of silent routers that a cause names. A router that is alive may have joined just now and be
+     * known to only some of the others.
+     */
     private static final int MOST_SHOWN = 4;
 
     private final PolicySettings settings;
@@ -20,7 +27,9 @@
     private final Shares shares;
     private final PolicyPort port;
     private final Consumer<Command> log;
-    /** When something was written that has not been applied yet, lest it be written again and again. */
+    /**
+     * Times at which commands were written to the log, so that a command is not repeated while it is not applied yet.
+     */
     private final Map<String, Long> written = new HashMap<>();
 
     private int openNumber;
@@ -29,9 +38,9 @@
     private Shares.Sum since = new Shares.Sum();
 
     /**
-     * Creates it.
+     * Creates the coordinator of one router; it acts only while that router leads.
      *
-     * @param log where commands are proposed
+     * @param log proposes a command to the replicated log
      */
     PolicyCoordinator(
             PolicySettings settings,
@@ -48,6 +57,7 @@
         this.log = log;
     }
 
+    /** Writes a command to the log, unless a command with the same key was written within the last second. */
     private void write(String what, Command command, long now) {
         if (now - written.getOrDefault(what, -AGAIN_NANOS) >= AGAIN_NANOS) {
             written.put(what, now);
@@ -55,13 +65,13 @@
         }
     }
 
-    /** A proposal has come from a router. */
+    /** Handles a proposal from a router: writes it to the log as a version or as a rejection. */
     void asked(PolicyMessage.Ask ask, Versions versions, long now) {
         Version version = ask.version();
         Version same = versions.find(version.name());
         if (same != null && same.isLike(version.name(), version.hash())
                 || versions.rejected(version.name(), version.hash()) != null) {
-            return; // decided, or about to be: the state tells
+            return; // already proposed or rejected: the proposer learns the outcome from the state
         }
         Version open = versions.open();
         Version newest = versions.newest();
@@ -93,13 +103,13 @@
     }
 
     /**
-     * Looks whether something is due.
+     * Does what is due: decides on the open version, and watches the newest committed one.
      *
-     * @param alive who is there
-     * @param voting who votes
-     * @param sure whether that can be relied on
-     * @param holdsAt since when the newest version holds; in the far future while it does not
-     * @param second whether a second of sums is over
+     * @param alive the routers that are alive
+     * @param voting the routers that vote
+     * @param sure whether the view of the routers that are alive can be relied on
+     * @param holdsAt when the newest version took or takes effect; in the far future while that is not known
+     * @param second whether a one-second interval of request sums has just ended
      */
     void look(
             Versions versions,
@@ -120,7 +130,12 @@
         }
     }
 
-    /** Most that vote must have the document, or it could be committed and be nowhere. */
+    /**
+     * Commits or aborts the open version if it is due.
+     *
+     * @param kept whether a majority of the voters have the document; without that, a version could be committed and
+     *     its document be lost
+     */
     private void decide(Version open, Set<Integer> alive, boolean kept, boolean sure, long now) {
         if (openNumber != open.number()) {
             openNumber = open.number();
@@ -163,6 +178,7 @@
                 now);
     }
 
+    /** Undoes the newest version if the served share falls too far, and settles it when the watch time is over. */
     private void watch(Version newest, Versions versions, long holdsAt, boolean second, long now) {
         if (watched != newest.number()) {
             watched = newest.number();
@@ -188,7 +204,7 @@
         }
     }
 
-    /** What brings back what was before a version. */
+    /** Returns the proposal that undoes a version by bringing back the document of the version before it. */
     static Version undo(Version version, Version before, int proposer, long unixMillis, String cause) {
         byte[] hash = before == null ? DocumentStore.hash(new byte[0]) : before.hash();
         return new Version(
@@ -208,7 +224,7 @@
                 new byte[0]);
     }
 
-    /** By what it fell too far against before; null if by nothing. */
+    /** Returns which share got worse by more than the version's bound since its commit; null if none did. */
     private String fall(Version newest) {
         byte[] was = newest.before();
         byte[] is = since.shares();
--- a/src/main/java/slateseam/tier/policy/PolicyMessage.java
+++ b/src/main/java/slateseam/tier/policy/PolicyMessage.java
@@ -9,7 +9,7 @@
 import java.util.zip.CRC32C;
 
 /**
- * What routers tell one another about versions, in datagrams of at most 256 bytes.
+ * Messages between routers about policy versions, in datagrams of at most 256 bytes.
  *
  * <pre>
  * 0  magic 0xB9      1  version 1      2  kind      3  zero
@@ -20,24 +20,27 @@
 sealed interface PolicyMessage {
     byte MAGIC = (byte) 0xb9;
     int MOST_BYTES = 256;
-    /** Classes whose shares are told. */
+    /** Number of request classes whose shares are reported. */
     int CLASSES = 6;
     /**
-     * The kind of a poll that tells of routers by ranges: another than that of one with a bit each, so that earlier builds
-     * pass over it and take nobody for one that has accepted.
+     * The kind of a poll that lists the accepting routers as ranges or a window. It differs from the kind of a poll
+     * with a plain bitmap, so that earlier builds ignore it instead of misreading it as acceptances.
      */
     int POLL_WITH_RANGES = 5;
 
     /**
-     * One asks another what it knows, and tells what it has to tell upwards.
+     * Asks another router for its newest state, and reports verdicts and request sums towards the leader.
      *
-     * @param memory of the asker, by which it may be taken in as a voter
-     * @param open the version that is looked at; 0 for none
-     * @param accepted who takes it, as far as the asker knows and the message tells ({@link AcceptedRouters})
-     * @param refuser who does not; -1 for nobody
-     * @param asked,served requests a second of each class at the asker and those that ask it; beyond 32,767 all sums of the message are
-     *     told smaller by one factor, which keeps the shares
-     * @param refused unavailable answers a second there
+     * @param memory the identity of the sender's durable state, by which the leader may admit it as a voter
+     * @param open the number of the version to be decided on; 0 for none
+     * @param accepted the routers that accept the open version, as far as the sender knows and the message can hold;
+     *     see {@link AcceptedRouters}
+     * @param refuser the router that refuses the open version; -1 for none
+     * @param why why that router refuses the version
+     * @param asked,served requests of each class in the last second that arrived and that were served, at the sender
+     *     and all routers that report to it; if a sum exceeds 32,767, all sums of the message are scaled down by the
+     *     same factor, which keeps the shares
+     * @param refused requests answered as unavailable in the last second, at the same routers
      */
     record Poll(
             long group,
@@ -53,7 +56,7 @@
             int[] served,
             int refused)
             implements PolicyMessage {
-        /** The largest of the sums that it tells. */
+        /** Returns the largest of the reported sums. */
         int largestSum() {
             int largestOfClasses = IntStream.concat(Arrays.stream(asked), Arrays.stream(served))
                     .max()
@@ -63,9 +66,15 @@
     }
 
     /**
-     * The answer: what the newest state is, how old that knowledge is at the most, and how long it is until the newest version holds.
+     * The reply to a poll.
      *
-     * @param leader the router that leads, as far as one knows; -1 for none
+     * @param sequence the sequence number of the poll
+     * @param revision the revision of the newest state known to the sender
+     * @param hash the hash of that state, by which it can be fetched
+     * @param length the length of that state in bytes
+     * @param ageMillis the maximum age of the sender's knowledge; -1 if it knows nothing
+     * @param holdsInMillis the time until the newest version takes effect; 0 if it is in effect
+     * @param leader the router that leads, as far as the sender knows; -1 for none
      * @param voters the routers that vote
      */
     record Word(
@@ -81,13 +90,13 @@
             int[] voters)
             implements PolicyMessage {}
 
-    /** Parts of a content are asked for. */
+    /** Requests parts of a content. */
     record Want(byte[] hash, int[] parts) implements PolicyMessage {}
 
-    /** One of them. */
+    /** Carries one part of a content. */
     record Part(byte[] hash, int index, byte[] bytes) implements PolicyMessage {}
 
-    /** A proposal on its way to the leader, who gets its document from whom it came. */
+    /** Submits a proposal to the leader, which fetches the document from the sender. */
     record Ask(int from, Version version) implements PolicyMessage {}
 
     default byte[] encode() {
@@ -143,7 +152,9 @@
         return i < numbers.length ? numbers[i] : 0;
     }
 
-    /** A sum as it fits into 15 bits: where the largest of a message does not fit, all become smaller by the same factor. */
+    /**
+     * Scales a sum to 15 bits: if the largest sum of the message does not fit, all are reduced by the same factor.
+     */
     private static short scaled(int sum, int largest) {
         return (short) (largest <= Short.MAX_VALUE ? sum : (long) sum * Short.MAX_VALUE / largest);
     }
@@ -154,7 +165,7 @@
         return (int) sum.getValue();
     }
 
-    /** Reads a datagram; null for what is none of these, or is damaged. */
+    /** Decodes a datagram; returns null if it is damaged or not a known message. */
     static PolicyMessage decode(byte[] bytes) {
         if (bytes.length < 8
                 || bytes.length > MOST_BYTES
--- a/src/main/java/slateseam/tier/policy/PolicyPort.java
+++ b/src/main/java/slateseam/tier/policy/PolicyPort.java
@@ -2,32 +2,46 @@
 
 import slateseam.tier.agreement.DurableState;
 
-/** What the policy asks of whoever carries it. */
+/** The services that {@link Policy} needs from its environment. */
 public interface PolicyPort {
-    /** Sends a datagram to a router; it may be lost. */
+    /** Sends a datagram to a router; the datagram may be lost. */
     void send(int router, byte[] datagram);
 
-    /** Writes a change of the voter's memory; {@link Policy#persisted} is to be called with its number once it lasts. */
+    /**
+     * Writes a change of the voter's durable state; once it is on disk, {@link Policy#persisted} must be called with
+     * its number.
+     */
     void persist(long number, DurableState.Change change);
 
-    /** The voter's memory begins anew: what was written so far is void. */
+    /** Discards all changes of the voter's durable state written so far; a new state begins. */
     void forget(String why);
 
-    /** What is wrong with a document for this router; null if nothing is. */
+    /** Returns why this router cannot apply a document; null if it can. */
     String check(byte[] document);
 
-    /** From now on this version is served by; of no document, what the router's own file says. */
+    /** Puts a version into effect; an empty document brings back the router's own settings file. */
     void holds(Version version, byte[] document);
 
-    /** Something that operators are to know. */
+    /**
+     * Reports an event to operators.
+     *
+     * @param kind the name of the event
+     * @param text its details as {@code key=value} pairs
+     */
     void tell(String kind, String text);
 
-    /** The time of day in Unix milliseconds, which is only ever shown. */
+    /** Returns the wall-clock time in Unix milliseconds, which is used for display only. */
     long unixMillis();
 
-    /** Requests of each class that have come, and that were served, and unavailable answers last; since the start. */
+    /** Returns the request counts since the start of the router. */
     Tally tally();
 
-    /** Counts since the start. */
+    /**
+     * Request counts since the start of the router.
+     *
+     * @param asked requests of each class that arrived
+     * @param served requests of each class that were served
+     * @param refused requests that were answered as unavailable
+     */
     record Tally(long[] asked, long[] served, long refused) {}
 }
--- a/src/main/java/slateseam/tier/policy/PolicySettings.java
+++ b/src/main/java/slateseam/tier/policy/PolicySettings.java
@@ -4,30 +4,33 @@
 import slateseam.tier.agreement.RaftSettings;
 
 /**
- * What one router is told of the tier's policy at its start. Times are nanoseconds.
+ * Settings of one router for the shared policy of the tier. Times are in nanoseconds.
  *
- * @param me its number
- * @param routers how many there are
- * @param voters the routers that are to vote
- * @param leaseNanos for so long one may serve by what it knew
- * @param pollNanos between two questions to another router
- * @param raft the figures of the log
+ * @param me the number of this router
+ * @param routers the number of configured routers
+ * @param voters the routers that are to vote in the replicated log
+ * @param leaseNanos the maximum age of a router's knowledge at which it may still serve
+ * @param pollNanos the interval between two polls
+ * @param raft the settings of the replicated log
  */
 public record PolicySettings(
         int me, int routers, Set<Integer> voters, long leaseNanos, long pollNanos, RaftSettings raft) {
     private static final long MILLI = 1_000_000L;
 
-    /** The usual figures. */
+    /** Returns the default settings. */
     public static PolicySettings usual(int me, int routers, Set<Integer> voters) {
         return new PolicySettings(me, routers, voters, 2_000 * MILLI, 100 * MILLI, RaftSettings.USUAL);
     }
 
-    /** From a commit until the version holds: longer than any lease that was got before, on a clock that is a hundredth slow. */
+    /**
+     * Returns the time from a commit until the version takes effect. It exceeds every lease granted before the
+     * commit, even at a router whose clock runs one percent slow.
+     */
     public long holdNanos() {
         return leaseNanos + leaseNanos / 100 + 100 * MILLI;
     }
 
-    /** So long a change waits for one that is alive and says nothing. */
+    /** Returns how long a proposed version waits for a router that is alive but does not answer. */
     long patienceNanos() {
         return 2 * leaseNanos;
     }
--- a/src/main/java/slateseam/tier/policy/Shares.java
+++ b/src/main/java/slateseam/tier/policy/Shares.java
@@ -6,17 +6,20 @@
 import java.util.Map;
 import slateseam.tier.policy.PolicyPort.Tally;
 
-/** What is served of what is asked, a second: here, and with all that tell this router. */
+/** Requests per second that arrived and were served, at this router and at all routers that report to it. */
 final class Shares {
     private static final long SECOND = 1_000_000_000L;
+    /** Time for which the sums that another router reported are used. */
     private static final long FRESH_NANOS = 3 * SECOND / 2;
+    /** Number of past seconds whose sums are kept. */
     private static final int KEPT = 5;
-    /** Fewer say nothing. */
+    /** Minimum number of requests for a meaningful share. */
     static final int LEAST_ASKED = 40;
 
+    /** The last report of another router. */
     private record Told(PolicyMessage.Poll poll, long at) {}
 
-    /** Sums of a time. */
+    /** Sums of requests over a time. */
     static final class Sum {
         final long[] asked = new long[PolicyMessage.CLASSES];
         final long[] served = new long[PolicyMessage.CLASSES];
@@ -30,7 +33,10 @@
             refused += other.refused;
         }
 
-        /** The served share of each class and the refused share of all, in 255ths; 255 served and 0 refused where too few asked. */
+        /**
+         * Returns the served share of each class and, last, the refused share of all requests, in 255ths. With too
+         * few requests, a served share is 255 and the refused share is 0.
+         */
         byte[] shares() {
             byte[] shares = new byte[PolicyMessage.CLASSES + 1];
             long all = 0;
@@ -49,12 +55,12 @@
     private Sum own = new Sum();
     private long nextAt;
 
-    /** What another tells of itself and of those that tell it. */
+    /** Records another router's report on itself and on the routers that report to it. */
     void told(PolicyMessage.Poll poll, long now) {
         children.put(poll.from(), new Told(poll, now));
     }
 
-    /** Whether a second is over; then the sums are those of the last. */
+    /** Returns whether a one-second interval has ended, in which case the sums of that second are updated. */
     boolean tick(Tally tally, long now) {
         if (now < nextAt) {
             return false;
@@ -74,7 +80,7 @@
         return true;
     }
 
-    /** Here and below. */
+    /** Returns the last second's sum of this router and of all routers that report to it. */
     Sum sum(long now) {
         children.values().removeIf(told -> now - told.at > FRESH_NANOS);
         Sum sum = new Sum();
@@ -89,7 +95,7 @@
         return sum;
     }
 
-    /** Of the last seconds together. */
+    /** Returns the sum over the last seconds. */
     Sum recent() {
         Sum sum = new Sum();
         last.forEach(sum::add);
--- a/src/main/java/slateseam/tier/policy/Tree.java
+++ b/src/main/java/slateseam/tier/policy/Tree.java
@@ -7,17 +7,23 @@
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
 
-/** Whom a router asks: voters the leader, four others each one above them; anybody, while that one does not answer. */
+/**
+ * The tree along which routers poll one another. Voters poll the leader. Routers that do not vote are ranked by their
+ * number; the first ones poll the voters and the others poll routers of lower rank, so that each router is polled by
+ * at most four of them. If its parent does not answer, a router polls a random other one.
+ */
 final class Tree {
+    /** Number of non-voting routers that poll the same router. */
     private static final int BRANCHES = 4;
+    /** Number of polls without a reply after which a router polls a random other router. */
     private static final int UNANSWERED = 3;
 
     private final PolicySettings settings;
     private final RandomGenerator random;
     private Set<Integer> alive = Set.of();
-    /** The same in order. */
+    /** The routers in {@link #alive}, in ascending order. */
     private List<Integer> ordered = List.of();
-    /** Those of them that learn, in order, while {@link #learnersWithout} vote. */
+    /** The routers of {@link #ordered} that neither vote nor are to vote, while {@link #learnersWithout} vote. */
     private List<Integer> learners = List.of();
 
     private Set<Integer> learnersWithout;
@@ -36,15 +42,20 @@
         alive = routers;
     }
 
+    /** Records that a poll was sent. */
     void asked() {
         unanswered++;
     }
 
+    /** Records that a reply was received. */
     void answered() {
         unanswered = 0;
     }
 
-    /** While there is no group: one that has not said so yet, or anybody; -1 for nobody. */
+    /**
+     * Returns the router to poll while no group is known: a random one that has not answered yet, or else any other;
+     * -1 for none.
+     */
     int next(Set<Integer> answered) {
         List<Integer> open = new ArrayList<>(ordered);
         open.removeIf(router -> router == settings.me() || answered.contains(router));
@@ -62,7 +73,7 @@
         return learners;
     }
 
-    /** The one to ask now; -1 for nobody. */
+    /** Returns the router to poll now; -1 for none. */
     int parent(int leader, Set<Integer> voting) {
         int me = settings.me();
         if (unanswered < UNANSWERED) {
--- a/src/main/java/slateseam/tier/policy/Verdicts.java
+++ b/src/main/java/slateseam/tier/policy/Verdicts.java
@@ -2,19 +2,19 @@
 
 import java.util.Set;
 
-/** Who takes the version that is open, and the first who does not, as far as it has come here. */
+/** The routers that accept the open version and the first one that refuses it, as far as this router knows. */
 final class Verdicts {
     private int number;
     private final AcceptedRouters accepted = new AcceptedRouters();
     private int refuser = -1;
     private String why = "";
 
-    /** Of which version they are; 0 for none. */
+    /** Returns the number of the version that the verdicts are about; 0 for none. */
     int number() {
         return number;
     }
 
-    /** Begins for another version. */
+    /** Discards all verdicts and starts to collect the verdicts on another version. */
     void begin(int version) {
         number = version;
         accepted.clear();
@@ -33,7 +33,7 @@
         }
     }
 
-    /** What another says, if it is of the same version. */
+    /** Adds the verdicts that another router reports, if they are about the same version. */
     void take(PolicyMessage.Poll poll) {
         if (poll.open() == number && number != 0) {
             accepted.addAll(poll.accepted());
@@ -43,7 +43,7 @@
         }
     }
 
-    /** What the next message tells of those who take it. */
+    /** Returns the accepting routers as encoded in the next message. */
     byte[] bytes() {
         return accepted.encode();
     }
--- a/src/main/java/slateseam/tier/policy/Version.java
+++ b/src/main/java/slateseam/tier/policy/Version.java
@@ -5,20 +5,22 @@
 import java.util.Arrays;
 
 /**
- * A version of the policy, as far as it was decided on.
+ * A version of the policy, with its state by the replicated log.
  *
- * @param number in the order in which versions take hold
- * @param name by which it was proposed
- * @param hash of its document; of no bytes for what each router's own file says
- * @param all whether all that are alive must take it, or those that answer
- * @param stale whether it may be served by one that cannot know whether it is still the newest
- * @param watchSeconds for so long after it holds it is held against what was before
- * @param boundPoints by so many points the served share of a class may fall, or the refused share rise
- * @param proposer the router at which it was proposed
- * @param atMillis when, in Unix milliseconds of the leader
- * @param undoes the version that it takes back; 0 for none
- * @param cause why it is in its state
- * @param before served shares of classes, and the refused share last, when it was committed; in 255ths
+ * @param number the number of the version; versions take effect in ascending order
+ * @param name the name by which the version was proposed
+ * @param hash the hash of its document; that of no bytes for each router's own settings file
+ * @param length the length of its document in bytes
+ * @param all whether all routers that are alive must accept the version, not just the routers that answer
+ * @param stale whether a router may go on serving by the version while it cannot prove that it is still the newest
+ * @param watchSeconds for how long after it takes effect the served shares are compared with the shares before
+ * @param boundPoints by how many percentage points the served share of a class may fall, or the refused share rise
+ * @param proposer the router at which the version was proposed
+ * @param atMillis when the version was proposed, in Unix milliseconds of the proposer
+ * @param undoes the number of the version that this version undoes; 0 for none
+ * @param state the state of the version
+ * @param cause why the version is in its state
+ * @param before the served shares of all classes and, last, the refused share at the commit, in 255ths
  */
 public record Version(
         int number,
@@ -35,33 +37,33 @@
         State state,
         String cause,
         byte[] before) {
-    /** Of a name, in bytes. */
+    /** Maximum length of a name in bytes. */
     public static final int MOST_NAME = 32;
-    /** Of a cause, in bytes. */
+    /** Maximum length of a cause in bytes; longer causes are cut off. */
     static final int MOST_CAUSE = 90;
 
     static final int HASH_BYTES = 16;
 
-    /** What has become of it. */
+    /** The states of a version. */
     public enum State {
-        /** Routers look at it. */
+        /** The routers check the version. */
         PROPOSED,
-        /** It takes hold, and is watched. */
+        /** The version takes effect, and is watched for a fall of the served share. */
         COMMITTED,
-        /** It holds, and is watched no longer. */
+        /** The version was in effect for the whole watch time, and is watched no longer. */
         SETTLED,
-        /** It never took hold. */
+        /** The version was not accepted and never took effect. */
         ABORTED,
-        /** A later one took it back. */
+        /** A later version undid this version. */
         UNDONE;
 
-        /** Its name for people. */
+        /** Returns the name of the state in lower case, for display. */
         public String word() {
             return name().toLowerCase(java.util.Locale.ROOT);
         }
     }
 
-    /** Whether it took hold, or will. */
+    /** Returns whether the version was committed, even if it was undone later. */
     public boolean isDecidedFor() {
         return state == State.COMMITTED || state == State.SETTLED || state == State.UNDONE;
     }
@@ -163,7 +165,7 @@
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         int length = Math.min(most, bytes.length);
         while (length > 0 && length < bytes.length && (bytes[length] & 0xc0) == 0x80) {
-            length--; // not within a character
+            length--; // does not cut within a UTF-8 character
         }
         out.put((byte) length).put(bytes, 0, length);
     }
@@ -178,7 +180,7 @@
         return bytes;
     }
 
-    /** Whether it was proposed with the same content. */
+    /** Returns whether the version has the given name and the given document hash. */
     boolean isLike(String aName, byte[] aHash) {
         return name.equals(aName) && Arrays.equals(hash, aHash);
     }
--- a/src/main/java/slateseam/tier/policy/Versions.java
+++ b/src/main/java/slateseam/tier/policy/Versions.java
@@ -8,18 +8,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** All versions, as the log has decided on them: the same at all that have applied as much of it. */
+/**
+ * The versions and rejected proposals: the state machine of the replicated log. Its state is the same at all routers
+ * that have applied the same number of commands.
+ */
 public final class Versions {
-    /** As many are kept. */
+    /** Maximum number of versions that are kept. */
     public static final int MOST = 200;
 
     private static final int MOST_REJECTED = 40;
     private static final byte FORMAT = 1;
 
-    /** A proposal that was turned down, and why. */
+    /** A rejected proposal: the hash of its document and the cause. */
     private record Rejected(byte[] hash, String cause) {}
 
-    /** How many commands were applied: whoever has more knows more. */
+    /** Number of commands applied; a state with a higher revision is newer. */
     private long revision;
 
     private final List<Version> all = new ArrayList<>();
@@ -29,17 +32,17 @@
         return revision;
     }
 
-    /** All that are kept, oldest first. */
+    /** Returns all versions that are kept, oldest first. */
     public List<Version> all() {
         return List.copyOf(all);
     }
 
-    /** By its number; null if it is not kept. */
+    /** Returns a version by its number; null if it is not kept. */
     public Version find(int number) {
         return all.stream().filter(one -> one.number() == number).findFirst().orElse(null);
     }
 
-    /** The last proposed by a name; null if there is none. */
+    /** Returns the last version that was proposed by a name; null if there is none. */
     public Version find(String name) {
         for (int i = all.size() - 1; i >= 0; i--) {
             if (all.get(i).name().equals(name)) {
@@ -49,19 +52,19 @@
         return null;
     }
 
-    /** Why a proposal was turned down; null if it was not. */
+    /** Returns why a proposal was rejected; null if it was not. */
     public String rejected(String name, byte[] hash) {
         Rejected one = rejected.get(name);
         return one == null || !Arrays.equals(one.hash, hash) ? null : one.cause;
     }
 
-    /** The one that is not decided on; null if there is none. */
+    /** Returns the version that is proposed and not decided on yet; null if there is none. */
     public Version open() {
         Version last = all.isEmpty() ? null : all.get(all.size() - 1);
         return last != null && last.state() == Version.State.PROPOSED ? last : null;
     }
 
-    /** The newest that was committed; null if none ever was. */
+    /** Returns the newest version that was committed; null if there is none. */
     public Version newest() {
         for (int i = all.size() - 1; i >= 0; i--) {
             if (all.get(i).isDecidedFor()) {
@@ -71,7 +74,7 @@
         return null;
     }
 
-    /** The one committed before; null if none was. */
+    /** Returns the last committed version before the given one; null if there is none. */
     Version before(Version version) {
         for (int i = all.size() - 1; i >= 0; i--) {
             if (all.get(i).isDecidedFor() && all.get(i).number() < version.number()) {
@@ -81,7 +84,9 @@
         return null;
     }
 
-    /** Applies a command; whoever applies the same in the same order has the same. */
+    /**
+     * Applies a command of the log. This is deterministic: the same commands in the same order give the same state.
+     */
     void apply(byte[] bytes) {
         Command command = Command.decode(bytes);
         revision++;
@@ -102,7 +107,7 @@
     private void propose(Version version) {
         Version same = find(version.name());
         if (same != null && same.isLike(version.name(), version.hash())) {
-            return; // the same proposal again
+            return; // a repetition of the same proposal
         }
         Version open = open();
         if (same != null) {
@@ -118,7 +123,7 @@
         } else {
             rejected.remove(version.name());
             all.add(version.numbered(all.isEmpty() ? 1 : all.get(all.size() - 1).number() + 1));
-            // Guards against forgetting what holds, or held before: only what never did, or is older, goes.
+            // Drops the oldest versions, so that the version in effect and the one before it are not forgotten.
             while (all.size() > MOST) {
                 all.remove(0);
             }
@@ -151,7 +156,7 @@
         }
     }
 
-    /** All of it, to go on elsewhere. */
+    /** Encodes the whole state, for snapshots and for other routers. */
     byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(16 + all.size() * 256 + rejected.size() * 160);
         out.put(FORMAT).putLong(revision).putShort((short) all.size());
@@ -165,7 +170,7 @@
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    /** The state of these bytes; null if they are none. */
+    /** Decodes a state, where no bytes give the empty state; returns null if the bytes are invalid. */
     static Versions decode(byte[] bytes) {
         Versions versions = new Versions();
         if (bytes.length == 0) {
--- a/src/main/java/slateseam/tier/policy/package-info.java
+++ b/src/main/java/slateseam/tier/policy/package-info.java
@@ -1,7 +1,9 @@
 /**
- * Versions of a policy that take hold at all routers or at none: what was proposed and decided, who may serve by it and until when,
- * and how all learn it. It does no I/O and knows no clock.
+ * The policy shared by all routers of the tier. Its versions are proposed, and committed or aborted for all routers
+ * at once; they are distributed to all routers, which serve by them under leases. The package does no I/O and reads
+ * no clock.
  *
- * <p>It uses slateseam.tier.agreement, in whose log versions are decided. The design note is docs/design/policy.md.
+ * <p>Versions are decided in the replicated log of slateseam.tier.agreement. The design note is
+ * docs/design/policy.md.
  */
 package slateseam.tier.policy;
