--- a/src/main/java/slateseam/tier/policy/AcceptedRouters.java
+++ b/src/main/java/slateseam/tier/policy/AcceptedRouters.java
@@ -6,26 +6,26 @@
 /**
  * The set of routers that have accepted a version, and its encoding in a datagram.
  *
- * <p>If all router numbers are below {@link #MOST_AS_BITS}, the encoding is a bitmap. Otherwise it is a block of
- * fixed length, which a reader recognises because it is longer than any such bitmap. The block holds the set as
+ * <p>If all router numbers are below {@link #MAX_BITMAP_ROUTERS}, the encoding is a bitmap. Otherwise it is a block
+ * of fixed length, which a reader recognises because it is longer than any such bitmap. The block holds the set as
  * ranges of router numbers, with unused ranges left empty, if few enough ranges cover the set. If not, the block is a
  * bitmap of one window of router numbers, and successive messages carry successive windows. A message may therefore
  * list fewer routers than have accepted, but never one that has not.
  */
 final class AcceptedRouters {
     /** Number of routers up to which the set is encoded as a plain bitmap. */
-    static final int MOST_AS_BITS = 1_024;
+    static final int MAX_BITMAP_ROUTERS = 1_024;
 
-    static final int MOST_BIT_BYTES = MOST_AS_BITS / Byte.SIZE;
+    static final int MAX_BITMAP_BYTES = MAX_BITMAP_ROUTERS / Byte.SIZE;
     /** Size of a range: its first router and the number of routers, two bytes each. */
     private static final int RANGE_BYTES = 2 * Short.BYTES;
     /**
      * Number of ranges in a block: the smallest that makes the block longer than any plain bitmap, because the cause
      * of a refusal shares the datagram.
      */
-    private static final int RANGES = MOST_BIT_BYTES / RANGE_BYTES + 1;
+    private static final int RANGES_PER_BLOCK = MAX_BITMAP_BYTES / RANGE_BYTES + 1;
 
-    private static final int BLOCK_BYTES = RANGES * RANGE_BYTES;
+    private static final int BLOCK_BYTES = RANGES_PER_BLOCK * RANGE_BYTES;
     /** Stands in place of the first range's first router; the window's number and its bitmap follow. */
     private static final short WINDOW_MARK = -1;
 
@@ -51,7 +51,7 @@
 
     /** Returns the encoding for the next message; each call moves on to the next window if windows are needed. */
     byte[] encode() {
-        if (routers.length() <= MOST_AS_BITS) {
+        if (routers.length() <= MAX_BITMAP_ROUTERS) {
             return routers.toByteArray();
         }
         byte[] ranges = encodeRanges();
@@ -85,12 +85,12 @@
     }
 
     /** Adds the routers that are listed in a received message. */
-    void addAll(byte[] told) {
-        if (told.length <= MOST_BIT_BYTES) {
-            routers.or(BitSet.valueOf(told));
+    void addAll(byte[] encoded) {
+        if (encoded.length <= MAX_BITMAP_BYTES) {
+            routers.or(BitSet.valueOf(encoded));
             return;
         }
-        ByteBuffer in = ByteBuffer.wrap(told);
+        ByteBuffer in = ByteBuffer.wrap(encoded);
         if (in.getShort(0) == WINDOW_MARK) {
             addWindow(in.position(Short.BYTES));
             return;
--- a/src/main/java/slateseam/tier/policy/Command.java
+++ b/src/main/java/slateseam/tier/policy/Command.java
@@ -31,7 +31,7 @@
             c.version.put(out);
         } else if (this instanceof Decide c) {
             out.put((byte) 1).putInt(c.number).put((byte) (c.committed ? 1 : 0));
-            Version.put(out, c.cause, Version.MOST_CAUSE);
+            Version.put(out, c.cause, Version.MAX_CAUSE_BYTES);
             out.put((byte) c.before.length).put(c.before);
         } else if (this instanceof Settle c) {
             out.put((byte) 2).putInt(c.number);
@@ -39,7 +39,7 @@
             out.put((byte) 3);
             Version.put(out, c.name, Version.MOST_NAME);
             out.put(c.hash);
-            Version.put(out, c.cause, Version.MOST_CAUSE);
+            Version.put(out, c.cause, Version.MAX_CAUSE_BYTES);
         }
         return Arrays.copyOf(out.array(), out.position());
     }
--- a/src/main/java/slateseam/tier/policy/DocumentStore.java
+++ b/src/main/java/slateseam/tier/policy/DocumentStore.java
@@ -18,36 +18,36 @@
  */
 final class DocumentStore {
     /** Maximum size of one content. */
-    static final int MOST_BYTES = 96 * 1024;
+    static final int MAX_CONTENT_BYTES = 96 * 1024;
 
     /** Size of a part; only the last part of a content may be shorter. */
     static final int PART_BYTES = 192;
 
-    private static final int MOST_WANTED = 4;
-    private static final int MOST_KEPT = 24;
+    private static final int MAX_FETCHES = 4;
+    private static final int MAX_STORED = 24;
     /** Maximum number of parts of one content that are requested and not yet received. */
-    private static final int MOST_UNDER_WAY = 32;
+    private static final int MAX_PARTS_IN_FLIGHT = 32;
 
     /** Time after which a part that has not arrived is requested again. */
-    private static final long AGAIN_NANOS = 120_000_000L;
+    private static final long RETRY_NANOS = 120_000_000L;
 
     /** A content that is being fetched. */
-    private static final class Wanted {
+    private static final class Fetch {
         final byte[] bytes;
-        final BitSet come = new BitSet();
-        final long[] askedAt;
+        final BitSet received = new BitSet();
+        final long[] requestedAt;
         int from;
 
-        Wanted(int length, int from) {
+        Fetch(int length, int from) {
             bytes = new byte[length];
-            askedAt = new long[parts(length)];
+            requestedAt = new long[parts(length)];
             this.from = from;
         }
     }
 
     private final BiConsumer<Integer, PolicyMessage> send;
-    private final Map<ByteBuffer, byte[]> kept = new LinkedHashMap<>(16, 0.75f, true);
-    private final Map<ByteBuffer, Wanted> wanted = new LinkedHashMap<>();
+    private final Map<ByteBuffer, byte[]> stored = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<ByteBuffer, Fetch> fetches = new LinkedHashMap<>();
     private Set<ByteBuffer> pinned = Set.of();
     private long now;
 
@@ -74,23 +74,23 @@
      */
     byte[] put(byte[] bytes) {
         byte[] hash = hash(bytes);
-        kept.put(ByteBuffer.wrap(hash), bytes);
-        for (ByteBuffer old : List.copyOf(kept.keySet())) {
-            if (kept.size() > MOST_KEPT && !pinned.contains(old)) {
-                kept.remove(old);
+        stored.put(ByteBuffer.wrap(hash), bytes);
+        for (ByteBuffer old : List.copyOf(stored.keySet())) {
+            if (stored.size() > MAX_STORED && !pinned.contains(old)) {
+                stored.remove(old);
             }
         }
         return hash;
     }
 
     /** Sets the hashes of the contents that are never evicted; they replace the hashes that were pinned before. */
-    void pin(Set<ByteBuffer> some) {
-        pinned = some;
+    void pin(Set<ByteBuffer> hashes) {
+        pinned = hashes;
     }
 
     /** Returns a content by its hash, or null if it is not stored here. */
     byte[] get(byte[] hash) {
-        return kept.get(ByteBuffer.wrap(hash));
+        return stored.get(ByteBuffer.wrap(hash));
     }
 
     /**
@@ -98,63 +98,66 @@
      * the remaining parts are requested from the given router from now on, as the router asked before may not have
      * the content.
      */
-    void want(byte[] hash, int length, int from) {
+    void fetch(byte[] hash, int length, int from) {
         ByteBuffer key = ByteBuffer.wrap(hash);
-        if (kept.containsKey(key) || length < 0 || length > MOST_BYTES) {
+        if (stored.containsKey(key) || length < 0 || length > MAX_CONTENT_BYTES) {
             return;
         }
         if (length == 0) {
             put(new byte[0]);
             return;
         }
-        Wanted one = wanted.get(key);
-        if (one == null || one.bytes.length != length) {
-            while (wanted.size() >= MOST_WANTED) {
-                wanted.remove(wanted.keySet().iterator().next());
+        Fetch fetch = fetches.get(key);
+        if (fetch == null || fetch.bytes.length != length) {
+            while (fetches.size() >= MAX_FETCHES) {
+                fetches.remove(fetches.keySet().iterator().next());
             }
-            one = new Wanted(length, from);
-            wanted.put(key, one);
+            fetch = new Fetch(length, from);
+            fetches.put(key, fetch);
         }
-        one.from = from;
-        ask(hash, one);
+        fetch.from = from;
+        requestParts(hash, fetch);
     }
 
     /** Requests missing parts, up to the limit of parts under way. */
-    private void ask(byte[] hash, Wanted one) {
-        int underWay = 0;
-        for (int i = 0; i < one.askedAt.length; i++) {
-            underWay += !one.come.get(i) && one.askedAt[i] != 0 && now - one.askedAt[i] < AGAIN_NANOS ? 1 : 0;
+    private void requestParts(byte[] hash, Fetch fetch) {
+        int inFlight = 0;
+        for (int i = 0; i < fetch.requestedAt.length; i++) {
+            inFlight += !fetch.received.get(i) && fetch.requestedAt[i] != 0 && now - fetch.requestedAt[i] < RETRY_NANOS
+                    ? 1
+                    : 0;
         }
-        List<Integer> some = new ArrayList<>();
-        for (int i = 0; i < one.askedAt.length && underWay + some.size() < MOST_UNDER_WAY; i++) {
-            if (!one.come.get(i) && (one.askedAt[i] == 0 || now - one.askedAt[i] >= AGAIN_NANOS)) {
-                one.askedAt[i] = Math.max(1, now);
-                some.add(i);
+        List<Integer> missing = new ArrayList<>();
+        for (int i = 0; i < fetch.requestedAt.length && inFlight + missing.size() < MAX_PARTS_IN_FLIGHT; i++) {
+            if (!fetch.received.get(i) && (fetch.requestedAt[i] == 0 || now - fetch.requestedAt[i] >= RETRY_NANOS)) {
+                fetch.requestedAt[i] = Math.max(1, now);
+                missing.add(i);
             }
         }
-        if (!some.isEmpty()) {
+        if (!missing.isEmpty()) {
             send.accept(
-                    one.from,
-                    new PolicyMessage.Want(hash, some.stream().mapToInt(i -> i).toArray()));
+                    fetch.from,
+                    new PolicyMessage.PartsRequest(
+                            hash, missing.stream().mapToInt(i -> i).toArray()));
         }
     }
 
     /** Advances the clock, and requests again the parts that have not arrived in time. */
     void tick(long nanos) {
         now = nanos;
-        wanted.forEach((key, one) -> ask(key.array(), one));
+        fetches.forEach((key, fetch) -> requestParts(key.array(), fetch));
     }
 
     /** Handles another router's request for parts: sends the requested parts that are stored here. */
-    void asked(int from, PolicyMessage.Want want) {
-        byte[] bytes = get(want.hash());
-        for (int part : want.parts()) {
+    void onPartsRequest(int from, PolicyMessage.PartsRequest request) {
+        byte[] bytes = get(request.hash());
+        for (int part : request.parts()) {
             int at = part * PART_BYTES;
             if (bytes != null && part >= 0 && at < bytes.length) {
                 send.accept(
                         from,
                         new PolicyMessage.Part(
-                                want.hash(),
+                                request.hash(),
                                 part,
                                 Arrays.copyOfRange(bytes, at, Math.min(bytes.length, at + PART_BYTES))));
             }
@@ -166,27 +169,27 @@
      *
      * @return whether the content is complete with this part, and has the requested hash
      */
-    boolean came(PolicyMessage.Part part) {
+    boolean onPart(PolicyMessage.Part part) {
         ByteBuffer key = ByteBuffer.wrap(part.hash());
-        Wanted one = wanted.get(key);
+        Fetch fetch = fetches.get(key);
         int at = part.index() * PART_BYTES;
-        if (one == null
+        if (fetch == null
                 || part.index() < 0
-                || at >= one.bytes.length
-                || part.bytes().length != Math.min(PART_BYTES, one.bytes.length - at)) {
+                || at >= fetch.bytes.length
+                || part.bytes().length != Math.min(PART_BYTES, fetch.bytes.length - at)) {
             return false;
         }
-        System.arraycopy(part.bytes(), 0, one.bytes, at, part.bytes().length);
-        one.come.set(part.index());
-        if (one.come.cardinality() < one.askedAt.length) {
-            ask(part.hash(), one);
+        System.arraycopy(part.bytes(), 0, fetch.bytes, at, part.bytes().length);
+        fetch.received.set(part.index());
+        if (fetch.received.cardinality() < fetch.requestedAt.length) {
+            requestParts(part.hash(), fetch);
             return false;
         }
-        wanted.remove(key);
-        if (!Arrays.equals(hash(one.bytes), part.hash())) {
+        fetches.remove(key);
+        if (!Arrays.equals(hash(fetch.bytes), part.hash())) {
             return false; // damaged: whoever needs the content will ask for it again
         }
-        put(one.bytes);
+        put(fetch.bytes);
         return true;
     }
 }
--- a/src/main/java/slateseam/tier/policy/Policy.java
+++ b/src/main/java/slateseam/tier/policy/Policy.java
@@ -25,20 +25,20 @@
 public final class Policy {
     private static final long MILLI = 1_000_000L;
     /** Interval between the leader's checks for voters to admit or replace. */
-    private static final long ADMIT_NANOS = 300 * MILLI;
+    private static final long ADMIT_INTERVAL_NANOS = 300 * MILLI;
     /** Time for which a reported identity of a durable state is used; the router may lose that state at any time. */
-    private static final long MEMORY_NANOS = 2_000 * MILLI;
+    private static final long MAX_MEMORY_AGE_NANOS = 2_000 * MILLI;
 
     /** Interval at which a proposal is repeated until its outcome is known. */
-    private static final long ASK_NANOS = 300 * MILLI;
+    private static final long PROPOSE_INTERVAL_NANOS = 300 * MILLI;
     /** Maximum number of polls whose reply is still accepted; the oldest are forgotten first. */
-    private static final int MOST_UNANSWERED = 64;
+    private static final int MAX_UNANSWERED_POLLS = 64;
 
     private static final long NEVER = Long.MIN_VALUE / 4;
     private static final long UNKNOWN = Long.MAX_VALUE;
 
     /** A newer state that is being fetched, when it was proven the newest, and when its newest version takes effect. */
-    private record Newer(PolicyMessage.Word word, long provenAt, long holdsAt) {}
+    private record Newer(PolicyMessage.PollReply reply, long provenAt, long holdsAt) {}
 
     private final PolicySettings settings;
     private final PolicyPort port;
@@ -47,16 +47,16 @@
     private final Verdicts verdicts = new Verdicts();
     private final Shares shares = new Shares();
     private final Tree tree;
-    private final PolicyCoordinator steward;
+    private final PolicyCoordinator coordinator;
     /** Send times of the polls that are not answered yet, by sequence number. */
     private final TreeMap<Integer, Long> polls = new TreeMap<>();
     /** Routers that have answered that they know of no group. */
-    private final Set<Integer> without = new HashSet<>();
+    private final Set<Integer> withoutGroup = new HashSet<>();
 
     /** Identity of each router's durable state, as the router last reported it. */
-    private final Map<Integer, Long> memories = new HashMap<>();
+    private final Map<Integer, Long> reportedMemories = new HashMap<>();
 
-    private final Map<Integer, Long> memoriesAt = new HashMap<>();
+    private final Map<Integer, Long> memoryReportedAt = new HashMap<>();
     private Raft raft;
     /** Versions by the replicated log, if this router votes or is to become a voter. */
     private Versions replica = new Versions();
@@ -68,7 +68,7 @@
     private int leader = -1;
     private Set<Integer> voting = Set.of();
     private Set<Integer> alive = Set.of();
-    private boolean sure;
+    private boolean viewTrusted;
     private long now;
     /** The latest time for which it is proven that this router knew everything that was decided. */
     private long knownAt = NEVER;
@@ -81,17 +81,17 @@
 
     private Version held;
     private long heldAt;
-    private boolean serves;
+    private boolean serving;
     private int sequence;
-    private long nextPoll;
-    private long nextAdmit;
-    private Version asks;
-    private long nextAsk;
+    private long nextPollAt;
+    private long nextAdmitAt;
+    private Version openProposal;
+    private long nextProposeAt;
     private byte[] stateHash = DocumentStore.hash(new byte[0]);
     private int stateLength;
     private long stateRevision = -1;
-    private String twoGroups = "";
-    private String cannot = "";
+    private String reportedGroups = "";
+    private String reportedFault = "";
 
     /**
      * Creates the participant of one router.
@@ -104,20 +104,20 @@
         this.port = port;
         this.random = random;
         this.now = now;
-        contents = new DocumentStore((router, talk) -> port.send(router, talk.encode()));
+        contents = new DocumentStore((router, message) -> port.send(router, message.encode()));
         tree = new Tree(settings, random);
-        steward = new PolicyCoordinator(
+        coordinator = new PolicyCoordinator(
                 settings, contents, verdicts, shares, port, command -> raft.propose(command.encode()));
         if (memory == null) {
-            remember();
+            beginDurableState();
         } else {
-            raft = new Raft(settings.raft(), memory, true, now, random, new Log());
+            raft = new Raft(settings.raft(), memory, true, now, random, new LogPort());
             group = raft.group();
         }
     }
 
     /** Connects the replicated log to this policy: transport, durable state and the versions as the state machine. */
-    private final class Log implements RaftPort {
+    private final class LogPort implements RaftPort {
         @Override
         public void send(Voter to, Rpc message) {
             port.send(to.router(), message.encode());
@@ -150,7 +150,7 @@
         public byte[] content(byte[] hash, int length, int from) {
             byte[] content = contents.get(hash);
             if (content == null) {
-                contents.want(hash, length, from);
+                contents.fetch(hash, length, from);
             }
             return content;
         }
@@ -162,42 +162,42 @@
 
         @Override
         public void memoryLost(String why) {
-            lost = why;
+            lostCause = why;
         }
     }
 
-    private String lost;
+    private String lostCause;
 
     /** Starts with an empty durable state of a new identity, which makes this router another voter to the log. */
-    private void remember() {
+    private void beginDurableState() {
         DurableState stable = new DurableState();
         DurableState.Begin begin = new DurableState.Begin(0, new Voter(settings.me(), 1 + (random.nextLong() >>> 2)));
         stable.apply(begin);
-        raft = new Raft(settings.raft(), stable, false, now, random, new Log());
+        raft = new Raft(settings.raft(), stable, false, now, random, new LogPort());
         port.persist(0, begin);
     }
 
     /** Discards a lost durable state, and keeps the versions that were known as learned from others. */
-    private void forget() {
-        port.tell("policy-memory", "lost=\"" + lost + "\"");
-        port.forget(lost);
-        lost = null;
+    private void discardDurableState() {
+        port.tell("policy-memory", "lost=\"" + lostCause + "\"");
+        port.forget(lostCause);
+        lostCause = null;
         learned = current();
         replica = new Versions();
-        remember();
+        beginDurableState();
     }
 
     /** Reports that changes of the voter's durable state up to this number are on disk. */
     public void persisted(long number) {
         raft.persisted(number);
-        after();
+        processChanges();
     }
 
     /** Sets the routers that are alive, including this one, and whether that view can be relied on. */
     public void view(Set<Integer> routers, boolean trusted) {
         alive = routers;
-        sure = trusted;
-        tree.alive(routers);
+        viewTrusted = trusted;
+        tree.setAlive(routers);
     }
 
     /** Returns the versions with the higher revision of the log's and the learned ones. */
@@ -210,58 +210,65 @@
         now = nanos;
         contents.tick(now);
         raft.tick(now);
-        after();
-        boolean second = shares.tick(port.tally(), now);
+        processChanges();
+        boolean secondEnded = shares.tick(port.tally(), now);
         boolean leads = raft.role() == Raft.Role.LEADER;
         if (leads) {
             if (holdsAt() == UNKNOWN) {
                 // No router tells a leader when a version takes effect; by then it is in effect wherever it is known.
                 pending.put(newest, now + settings.holdNanos());
             }
-            proven();
+            updateKnownAt();
             if (raft.provenAt() >= 0) {
-                steward.look(replica, alive, voting(), sure, pending.isEmpty() ? heldAt : holdsAt(), second, now);
+                coordinator.tick(
+                        replica,
+                        alive,
+                        voting(),
+                        viewTrusted,
+                        pending.isEmpty() ? heldAt : holdsAt(),
+                        secondEnded,
+                        now);
             }
-            if (now >= nextAdmit) {
-                nextAdmit = now + ADMIT_NANOS;
-                memories.keySet().removeIf(router -> now - memoriesAt.getOrDefault(router, NEVER) > MEMORY_NANOS);
-                memories.put(settings.me(), raft.self().memory());
-                String changed = Admission.look(raft, settings.voters(), memories);
+            if (now >= nextAdmitAt) {
+                nextAdmitAt = now + ADMIT_INTERVAL_NANOS;
+                reportedMemories
+                        .keySet()
+                        .removeIf(router -> now - memoryReportedAt.getOrDefault(router, NEVER) > MAX_MEMORY_AGE_NANOS);
+                reportedMemories.put(settings.me(), raft.self().memory());
+                String changed = Admission.look(raft, settings.voters(), reportedMemories);
                 if (changed != null) {
                     port.tell("policy-seats", changed);
                 }
             }
-        } else if (now >= nextPoll) {
-            nextPoll = now + settings.pollNanos();
+        } else if (now >= nextPollAt) {
+            nextPollAt = now + settings.pollNanos();
             poll();
         }
-        if (asks != null && now >= nextAsk) {
-            nextAsk = now + ASK_NANOS;
-            ask();
+        if (openProposal != null && now >= nextProposeAt) {
+            nextProposeAt = now + PROPOSE_INTERVAL_NANOS;
+            sendProposal();
         }
-        after();
+        processChanges();
     }
 
     /** Updates {@link #knownAt} at the leader, which proves by the log that its knowledge is the newest. */
-    private void proven() {
+    private void updateKnownAt() {
         if (raft.role() == Raft.Role.LEADER && raft.provenAt() >= 0) {
             knownAt = Math.max(knownAt, raft.provenAt());
         }
     }
 
-    /**
-     * Polls the router above this one in the tree, or while there is no group any router that has not answered yet.
-     */
+    /** Polls the parent in the tree; while no group is known, any router that has not answered yet. */
     private void poll() {
-        int parent = group == 0 ? tree.next(without) : tree.parent(leader(), voting());
+        int parent = group == 0 ? tree.nextWithoutGroup(withoutGroup) : tree.parent(leader(), voting());
         if (parent < 0) {
             return;
         }
         polls.put(++sequence, now);
-        while (polls.size() > MOST_UNANSWERED) {
+        while (polls.size() > MAX_UNANSWERED_POLLS) {
             polls.pollFirstEntry();
         }
-        tree.asked();
+        tree.pollSent();
         Shares.Sum sum = shares.sum(now);
         port.send(
                 parent,
@@ -272,7 +279,7 @@
                                 sequence,
                                 current().revision(),
                                 verdicts.number(),
-                                verdicts.bytes(),
+                                verdicts.encodeAccepted(),
                                 verdicts.refuser(),
                                 verdicts.why(),
                                 numbers(sum.asked),
@@ -309,20 +316,20 @@
                 raft.heard(now, rpc);
             }
         } else {
-            PolicyMessage talk = PolicyMessage.decode(datagram);
-            if (talk instanceof PolicyMessage.Poll poll) {
-                polled(from, poll);
-            } else if (talk instanceof PolicyMessage.Word word) {
-                told(from, word);
-            } else if (talk instanceof PolicyMessage.Want want) {
-                contents.asked(from, want);
-            } else if (talk instanceof PolicyMessage.Part part) {
-                contents.came(part);
-            } else if (talk instanceof PolicyMessage.Ask ask && raft.role() == Raft.Role.LEADER) {
-                steward.asked(ask, replica, now);
+            PolicyMessage message = PolicyMessage.decode(datagram);
+            if (message instanceof PolicyMessage.Poll poll) {
+                onPoll(from, poll);
+            } else if (message instanceof PolicyMessage.PollReply reply) {
+                onPollReply(from, reply);
+            } else if (message instanceof PolicyMessage.PartsRequest request) {
+                contents.onPartsRequest(from, request);
+            } else if (message instanceof PolicyMessage.Part part) {
+                contents.onPart(part);
+            } else if (message instanceof PolicyMessage.ProposalRequest request && raft.role() == Raft.Role.LEADER) {
+                coordinator.onProposal(request, replica, now);
             }
         }
-        after();
+        processChanges();
     }
 
     /** Returns the possible first bytes of this protocol's datagrams, which distinguish them from other datagrams. */
@@ -331,20 +338,20 @@
     }
 
     /** Handles a poll: records the reported verdicts and sums, and replies with the newest state known here. */
-    private void polled(int from, PolicyMessage.Poll poll) {
-        memories.put(from, poll.memory());
-        memoriesAt.put(from, now);
+    private void onPoll(int from, PolicyMessage.Poll poll) {
+        reportedMemories.put(from, poll.memory());
+        memoryReportedAt.put(from, now);
         if (poll.group() == group) {
-            verdicts.take(poll);
-            shares.told(poll, now);
+            verdicts.addFrom(poll);
+            shares.report(poll, now);
         }
-        proven();
+        updateKnownAt();
         long age = knownAt == NEVER ? -1 : Math.min(Integer.MAX_VALUE, (now - knownAt + MILLI - 1) / MILLI);
         long holdsIn = Math.min(Integer.MAX_VALUE, holdsIn(now) / MILLI);
-        state();
+        encodeState();
         port.send(
                 from,
-                new PolicyMessage.Word(
+                new PolicyMessage.PollReply(
                                 group,
                                 settings.me(),
                                 poll.sequence(),
@@ -362,7 +369,7 @@
     }
 
     /** Encodes and stores the state for other routers to fetch, if it has changed since the last call. */
-    private void state() {
+    private void encodeState() {
         if (stateRevision != current().revision()) {
             stateRevision = current().revision();
             byte[] bytes = current().encode();
@@ -372,44 +379,44 @@
     }
 
     /** Handles the reply to a poll. */
-    private void told(int from, PolicyMessage.Word word) {
-        Long sentAt = polls.remove(word.sequence());
+    private void onPollReply(int from, PolicyMessage.PollReply reply) {
+        Long sentAt = polls.remove(reply.sequence());
         if (sentAt == null) {
             return;
         }
-        tree.answered();
-        if (word.group() == 0) {
-            without.add(from);
+        tree.replyReceived();
+        if (reply.group() == 0) {
+            withoutGroup.add(from);
             return;
         }
         if (group == 0) {
-            group = word.group();
+            group = reply.group();
             port.tell("policy-group", "group=" + Long.toHexString(group) + " by=" + from);
         }
-        if (word.group() != group) {
-            String both = Long.toHexString(group) + " and " + Long.toHexString(word.group()) + " at router " + from;
-            if (!both.equals(twoGroups)) {
-                twoGroups = both;
-                port.tell("policy-two-groups", "groups=\"" + both + "\"");
+        if (reply.group() != group) {
+            String groups = Long.toHexString(group) + " and " + Long.toHexString(reply.group()) + " at router " + from;
+            if (!groups.equals(reportedGroups)) {
+                reportedGroups = groups;
+                port.tell("policy-two-groups", "groups=\"" + groups + "\"");
             }
             return;
         }
-        leader = word.leader();
-        voting = new HashSet<>(Arrays.stream(word.voters()).boxed().toList());
-        if (word.ageMillis() < 0) {
+        leader = reply.leader();
+        voting = new HashSet<>(Arrays.stream(reply.voters()).boxed().toList());
+        if (reply.ageMillis() < 0) {
             return;
         }
-        long provenAt = sentAt - word.ageMillis() * MILLI;
-        long itHoldsAt = now + word.holdsInMillis() * MILLI;
-        if (word.revision() <= current().revision()) {
+        long provenAt = sentAt - reply.ageMillis() * MILLI;
+        long reportedHoldsAt = now + reply.holdsInMillis() * MILLI;
+        if (reply.revision() <= current().revision()) {
             // A router with the same or a higher revision knows everything that was decided up to that time.
             knownAt = Math.max(knownAt, provenAt);
-            if (word.revision() == current().revision()) {
-                holdsNoLater(itHoldsAt);
+            if (reply.revision() == current().revision()) {
+                lowerHoldsAt(reportedHoldsAt);
             }
         } else {
-            newer = new Newer(word, provenAt, itHoldsAt);
-            contents.want(word.hash(), word.length(), from);
+            newer = new Newer(reply, provenAt, reportedHoldsAt);
+            contents.fetch(reply.hash(), reply.length(), from);
         }
     }
 
@@ -417,19 +424,19 @@
      * Applies what has changed since the last call: takes over a fetched state, examines the open version, puts
      * versions into effect whose time has come, and reports when the router starts or stops serving.
      */
-    private void after() {
-        if (lost != null) {
-            forget();
+    private void processChanges() {
+        if (lostCause != null) {
+            discardDurableState();
         }
         group = raft.group() != 0 ? raft.group() : group;
         adopt();
         Versions versions = current();
         Version last = versions.newest();
         if (last != null && last.number() != newest) {
-            learn(versions, last);
+            recordNewVersions(versions, last);
         }
-        if (newer != null && newer.word.revision() == versions.revision() && last != null) {
-            holdsNoLater(newer.holdsAt);
+        if (newer != null && newer.reply.revision() == versions.revision() && last != null) {
+            lowerHoldsAt(newer.holdsAt);
             newer = null;
         }
         pin(versions);
@@ -439,21 +446,21 @@
         }
         while (!pending.isEmpty()
                 && now >= pending.firstEntry().getValue()
-                && hold(versions.find(pending.firstKey()))) {
+                && putIntoEffect(versions.find(pending.firstKey()))) {
             pending.pollFirstEntry();
         }
         knownBefore = knownAt;
-        boolean may = mayServe(now);
-        if (may != serves) {
-            serves = may;
-            port.tell(may ? "policy-serves" : "policy-refuses", state(last));
+        boolean mayServeNow = mayServe(now);
+        if (mayServeNow != serving) {
+            serving = mayServeNow;
+            port.tell(mayServeNow ? "policy-serves" : "policy-refuses", describeState(last));
         }
     }
 
     /** Records newly learned versions; all but the newest may have been in effect elsewhere for a long time. */
-    private void learn(Versions versions, Version last) {
+    private void recordNewVersions(Versions versions, Version last) {
         for (Version one : versions.all()) {
-            if (one.isDecidedFor() && one.number() > newest && one.number() != last.number()) {
+            if (one.wasCommitted() && one.number() > newest && one.number() != last.number()) {
                 pending.put(one.number(), one.state() == Version.State.SETTLED ? now : UNKNOWN);
             }
         }
@@ -464,7 +471,7 @@
     }
 
     /** Lowers the time at which the newest version takes effect here to the time that another router has told. */
-    private void holdsNoLater(long at) {
+    private void lowerHoldsAt(long at) {
         if (pending.containsKey(newest) && at < pending.get(newest)) {
             pending.put(newest, at);
         }
@@ -479,23 +486,23 @@
         if (newer == null) {
             return;
         }
-        if (newer.word.revision() > current().revision()) {
-            byte[] bytes = contents.get(newer.word.hash());
+        if (newer.reply.revision() > current().revision()) {
+            byte[] bytes = contents.get(newer.reply.hash());
             Versions versions = bytes == null ? null : Versions.decode(bytes);
-            if (versions == null || versions.revision() != newer.word.revision()) {
+            if (versions == null || versions.revision() != newer.reply.revision()) {
                 return;
             }
             learned = versions;
         }
         knownAt = Math.max(knownAt, newer.provenAt);
-        if (current().newest() == null || newer.word.revision() != current().revision()) {
+        if (current().newest() == null || newer.reply.revision() != current().revision()) {
             newer = null;
         }
     }
 
     /** Protects the contents that are still needed from eviction. */
     private void pin(Versions versions) {
-        Set<ByteBuffer> some = new HashSet<>();
+        Set<ByteBuffer> needed = new HashSet<>();
         for (Version one : new Version[] {
             versions.open(),
             versions.newest(),
@@ -503,14 +510,14 @@
             versions.newest() == null ? null : versions.before(versions.newest())
         }) {
             if (one != null) {
-                some.add(ByteBuffer.wrap(one.hash()));
+                needed.add(ByteBuffer.wrap(one.hash()));
             }
         }
-        some.add(ByteBuffer.wrap(stateHash));
-        if (asks != null) {
-            some.add(ByteBuffer.wrap(asks.hash()));
+        needed.add(ByteBuffer.wrap(stateHash));
+        if (openProposal != null) {
+            needed.add(ByteBuffer.wrap(openProposal.hash()));
         }
-        contents.pin(some);
+        contents.pin(needed);
     }
 
     /** Checks the open version's document, and records whether this router accepts or refuses the version. */
@@ -519,18 +526,18 @@
         if (verdicts.number() != number) {
             verdicts.begin(number);
         }
-        if (open == null || verdicts.has(settings.me()) || verdicts.refuser() == settings.me()) {
+        if (open == null || verdicts.hasAccepted(settings.me()) || verdicts.refuser() == settings.me()) {
             return;
         }
         byte[] document = document(open);
         if (document != null) {
-            String wrong = port.check(document);
-            if (wrong == null) {
+            String fault = port.check(document);
+            if (fault == null) {
                 verdicts.accept(settings.me());
             } else {
-                verdicts.refuse(settings.me(), wrong);
+                verdicts.refuse(settings.me(), fault);
             }
-            nextPoll = Math.min(nextPoll, now); // reports the verdict at once
+            nextPollAt = Math.min(nextPollAt, now); // reports the verdict at once
         }
     }
 
@@ -540,7 +547,7 @@
         if (document == null) {
             int from = tree.parent(leader(), voting());
             if (from >= 0) {
-                contents.want(version.hash(), version.length(), from);
+                contents.fetch(version.hash(), version.length(), from);
             }
             document = contents.get(version.hash());
         }
@@ -548,17 +555,17 @@
     }
 
     /** Puts a version into effect; returns false if its document is not here or this router cannot apply it. */
-    private boolean hold(Version version) {
+    private boolean putIntoEffect(Version version) {
         byte[] document = version == null ? null : document(version);
-        String wrong = document == null ? "" : port.check(document);
-        if (wrong != null) {
-            String told = version == null || document == null
+        String fault = document == null ? "" : port.check(document);
+        if (fault != null) {
+            String report = version == null || document == null
                     ? null
-                    : "version=" + version.number() + " fault=\"" + wrong + "\"";
-            if (told != null && !told.equals(cannot)) {
+                    : "version=" + version.number() + " fault=\"" + fault + "\"";
+            if (report != null && !report.equals(reportedFault)) {
                 // This router was away when the version was committed, and can serve by no version now.
-                cannot = told;
-                port.tell("policy-cannot", told);
+                reportedFault = report;
+                port.tell("policy-cannot", report);
             }
             return false;
         }
@@ -589,7 +596,7 @@
 
     /** Returns whether a majority of routers know of no group; each router then serves by its own settings file. */
     private boolean isWithout() {
-        return 2 * (without.size() + 1) > settings.routers();
+        return 2 * (withoutGroup.size() + 1) > settings.routers();
     }
 
     /** Returns whether this router serves by a version that it can no longer prove to be the newest. */
@@ -608,12 +615,12 @@
         if (!settings.voters().contains(settings.me())) {
             return "router " + settings.me() + " is not one of the configured voters";
         }
-        if (!sure || alive.size() < settings.routers() || without.size() < settings.routers() - 1) {
+        if (!viewTrusted || alive.size() < settings.routers() || withoutGroup.size() < settings.routers() - 1) {
             return "not all routers are there: " + alive.size() + " of " + settings.routers() + ", and "
-                    + without.size() + " have said that they know of no group";
+                    + withoutGroup.size() + " have said that they know of no group";
         }
         raft.begin(1 + (random.nextLong() >>> 2));
-        after();
+        processChanges();
         return null;
     }
 
@@ -639,7 +646,7 @@
                 Version.State.PROPOSED,
                 "",
                 new byte[0]);
-        ask(version);
+        startProposal(version);
         return version;
     }
 
@@ -651,33 +658,33 @@
         }
         Version version =
                 PolicyCoordinator.undo(last, current().before(last), settings.me(), port.unixMillis(), "by hand");
-        ask(version);
+        startProposal(version);
         return version;
     }
 
-    private void ask(Version version) {
-        asks = version;
-        nextAsk = now;
-        ask();
+    private void startProposal(Version version) {
+        openProposal = version;
+        nextProposeAt = now;
+        sendProposal();
     }
 
-    private void ask() {
-        if (outcome(asks) != null) {
-            asks = null;
+    private void sendProposal() {
+        if (outcome(openProposal) != null) {
+            openProposal = null;
             return;
         }
-        PolicyMessage.Ask ask = new PolicyMessage.Ask(settings.me(), asks);
+        PolicyMessage.ProposalRequest request = new PolicyMessage.ProposalRequest(settings.me(), openProposal);
         if (raft.role() == Raft.Role.LEADER) {
-            steward.asked(ask, replica, now);
+            coordinator.onProposal(request, replica, now);
         } else if (leader() >= 0) {
-            port.send(leader(), ask.encode());
+            port.send(leader(), request.encode());
         }
     }
 
     /** Returns the outcome of a proposal: the version's state or why it was rejected; null while it is not known. */
     public String outcome(Version asked) {
         Version version = current().find(asked.name());
-        if (version != null && version.isLike(asked.name(), asked.hash())) {
+        if (version != null && version.matches(asked.name(), asked.hash())) {
             return version.state() == Version.State.PROPOSED
                     ? null
                     : version.state().word();
@@ -729,12 +736,12 @@
                         ? "refused by " + verdicts.refuser() + ": " + verdicts.why()
                         : "accepted by "
                                 + new ArrayList<>(alive.stream()
-                                        .filter(verdicts::has)
+                                        .filter(verdicts::hasAccepted)
                                         .sorted()
                                         .toList());
     }
 
-    private String state(Version last) {
+    private String describeState(Version last) {
         return "group=" + Long.toHexString(group) + " holds=" + (held == null ? 0 : held.number()) + " newest="
                 + (last == null ? 0 : last.number())
                 + " age_ms=" + (knownAt == NEVER ? -1 : (now - knownAt) / MILLI) + " leader=" + leader() + " role="
--- a/src/main/java/slateseam/tier/policy/PolicyCoordinator.java
+++ b/src/main/java/slateseam/tier/policy/PolicyCoordinator.java
@@ -14,12 +14,12 @@
 final class PolicyCoordinator {
     private static final long SECOND = 1_000_000_000L;
     /** Minimum interval between two writes of the same command, as the first may not be applied yet. */
-    private static final long AGAIN_NANOS = SECOND;
+    private static final long MIN_REWRITE_NANOS = SECOND;
     /**
      * Maximum number of silent routers that a cause names. A router that is alive may have joined just now and be
      * known to only some of the others.
      */
-    private static final int MOST_SHOWN = 4;
+    private static final int MAX_NAMED_ROUTERS = 4;
 
     private final PolicySettings settings;
     private final DocumentStore contents;
@@ -30,12 +30,12 @@
     /**
      * Times at which commands were written to the log, so that a command is not repeated while it is not applied yet.
      */
-    private final Map<String, Long> written = new HashMap<>();
+    private final Map<String, Long> writtenAt = new HashMap<>();
 
     private int openNumber;
     private long openSince;
-    private int watched;
-    private Shares.Sum since = new Shares.Sum();
+    private int watchedNumber;
+    private Shares.Sum sumInEffect = new Shares.Sum();
 
     /**
      * Creates the coordinator of one router; it acts only while that router leads.
@@ -58,26 +58,26 @@
     }
 
     /** Writes a command to the log, unless a command with the same key was written within the last second. */
-    private void write(String what, Command command, long now) {
-        if (now - written.getOrDefault(what, -AGAIN_NANOS) >= AGAIN_NANOS) {
-            written.put(what, now);
+    private void write(String key, Command command, long now) {
+        if (now - writtenAt.getOrDefault(key, -MIN_REWRITE_NANOS) >= MIN_REWRITE_NANOS) {
+            writtenAt.put(key, now);
             log.accept(command);
         }
     }
 
     /** Handles a proposal from a router: writes it to the log as a version or as a rejection. */
-    void asked(PolicyMessage.Ask ask, Versions versions, long now) {
-        Version version = ask.version();
-        Version same = versions.find(version.name());
-        if (same != null && same.isLike(version.name(), version.hash())
+    void onProposal(PolicyMessage.ProposalRequest request, Versions versions, long now) {
+        Version version = request.version();
+        Version existing = versions.find(version.name());
+        if (existing != null && existing.matches(version.name(), version.hash())
                 || versions.rejected(version.name(), version.hash()) != null) {
             return; // already proposed or rejected: the proposer learns the outcome from the state
         }
         Version open = versions.open();
         Version newest = versions.newest();
         String cause = null;
-        if (same != null) {
-            cause = "version " + same.number() + " was proposed by that name with another content";
+        if (existing != null) {
+            cause = "version " + existing.number() + " was proposed by that name with another content";
         } else if (open != null) {
             cause = "beaten by " + open.name() + ", proposed at router " + open.proposer();
         } else if (version.undoes() != 0 && (newest == null || newest.number() != version.undoes())) {
@@ -87,12 +87,12 @@
         }
         byte[] document = contents.get(version.hash());
         if (cause == null && document == null) {
-            contents.want(version.hash(), version.length(), ask.from());
+            contents.fetch(version.hash(), version.length(), request.from());
             return;
         }
-        String wrong = cause != null ? null : port.check(document);
-        if (wrong != null) {
-            cause = "router " + settings.me() + ": " + wrong;
+        String fault = cause != null ? null : port.check(document);
+        if (fault != null) {
+            cause = "router " + settings.me() + ": " + fault;
         }
         write(
                 "ask " + version.name(),
@@ -107,36 +107,41 @@
      *
      * @param alive the routers that are alive
      * @param voting the routers that vote
-     * @param sure whether the view of the routers that are alive can be relied on
+     * @param viewTrusted whether the view of the routers that are alive can be relied on
      * @param holdsAt when the newest version took or takes effect; in the far future while that is not known
-     * @param second whether a one-second interval of request sums has just ended
+     * @param secondEnded whether a one-second interval of request sums has just ended
      */
-    void look(
+    void tick(
             Versions versions,
             Set<Integer> alive,
             Set<Integer> voting,
-            boolean sure,
+            boolean viewTrusted,
             long holdsAt,
-            boolean second,
+            boolean secondEnded,
             long now) {
-        written.values().removeIf(at -> now - at > 10 * AGAIN_NANOS);
+        writtenAt.values().removeIf(at -> now - at > 10 * MIN_REWRITE_NANOS);
         Version open = versions.open();
         if (open != null) {
-            decide(open, alive, 2 * voting.stream().filter(verdicts::has).count() > voting.size(), sure, now);
+            decide(
+                    open,
+                    alive,
+                    2 * voting.stream().filter(verdicts::hasAccepted).count() > voting.size(),
+                    viewTrusted,
+                    now);
         }
         Version newest = versions.newest();
         if (newest != null && newest.state() == Version.State.COMMITTED) {
-            watch(newest, versions, holdsAt, second, now);
+            watch(newest, versions, holdsAt, secondEnded, now);
         }
     }
 
     /**
      * Commits or aborts the open version if it is due.
      *
-     * @param kept whether a majority of the voters have the document; without that, a version could be committed and
-     *     its document be lost
+     * @param majorityHasDocument whether a majority of the voters have the document; without that, a version could be
+     *     committed and its document be lost
      */
-    private void decide(Version open, Set<Integer> alive, boolean kept, boolean sure, long now) {
+    private void decide(Version open, Set<Integer> alive, boolean majorityHasDocument, boolean viewTrusted, long now) {
         if (openNumber != open.number()) {
             openNumber = open.number();
             openSince = now;
@@ -146,21 +151,27 @@
         }
         if (verdicts.refuser() >= 0) {
             decide(open, false, "router " + verdicts.refuser() + ": " + verdicts.why(), now);
-        } else if (kept && sure && verdicts.hasAll(alive)) {
+        } else if (majorityHasDocument && viewTrusted && verdicts.haveAllAccepted(alive)) {
             decide(open, true, "", now);
-        } else if (now - openSince > settings.patienceNanos()) {
+        } else if (now - openSince > settings.decisionTimeoutNanos()) {
             List<Integer> silent = new ArrayList<>(alive);
-            silent.removeIf(verdicts::has);
+            silent.removeIf(verdicts::hasAccepted);
             String who = "router "
                     + String.join(
                             ", ",
                             silent.stream()
-                                    .limit(MOST_SHOWN)
+                                    .limit(MAX_NAMED_ROUTERS)
                                     .map(String::valueOf)
                                     .toList())
-                    + (silent.size() > MOST_SHOWN ? " and " + (silent.size() - MOST_SHOWN) + " more" : "");
-            if (open.all() || !sure || !kept) {
-                decide(open, false, sure ? who + " did not answer in time" : "who is there could not be told", now);
+                    + (silent.size() > MAX_NAMED_ROUTERS
+                            ? " and " + (silent.size() - MAX_NAMED_ROUTERS) + " more"
+                            : "");
+            if (open.all() || !viewTrusted || !majorityHasDocument) {
+                decide(
+                        open,
+                        false,
+                        viewTrusted ? who + " did not answer in time" : "who is there could not be told",
+                        now);
             } else {
                 decide(open, true, "without " + who, now);
             }
@@ -179,18 +190,18 @@
     }
 
     /** Undoes the newest version if the served share falls too far, and settles it when the watch time is over. */
-    private void watch(Version newest, Versions versions, long holdsAt, boolean second, long now) {
-        if (watched != newest.number()) {
-            watched = newest.number();
-            since = new Shares.Sum();
+    private void watch(Version newest, Versions versions, long holdsAt, boolean secondEnded, long now) {
+        if (watchedNumber != newest.number()) {
+            watchedNumber = newest.number();
+            sumInEffect = new Shares.Sum();
         }
         if (now - SECOND < holdsAt) {
             return;
         }
-        if (second) {
-            since.add(shares.sum(now));
+        if (secondEnded) {
+            sumInEffect.add(shares.sum(now));
         }
-        String fall = second && newest.undoes() == 0 ? fall(newest) : null;
+        String fall = secondEnded && newest.undoes() == 0 ? describeFall(newest) : null;
         Version before = versions.before(newest);
         if (fall != null && versions.open() == null) {
             port.tell(
@@ -225,22 +236,24 @@
     }
 
     /** Returns which share got worse by more than the version's bound since its commit; null if none did. */
-    private String fall(Version newest) {
-        byte[] was = newest.before();
-        byte[] is = since.shares();
-        if (was.length != is.length) {
+    private String describeFall(Version newest) {
+        byte[] sharesBefore = newest.before();
+        byte[] sharesNow = sumInEffect.shares();
+        if (sharesBefore.length != sharesNow.length) {
             return null;
         }
         for (int i = 0; i < PolicyMessage.CLASSES; i++) {
-            int points = 100 * ((was[i] & 0xff) - (is[i] & 0xff)) / 255;
-            if (since.asked[i] >= Shares.LEAST_ASKED && points > newest.boundPoints()) {
-                return "class " + i + " served " + 100 * (is[i] & 0xff) / 255 + " after " + 100 * (was[i] & 0xff) / 255;
+            int points = 100 * ((sharesBefore[i] & 0xff) - (sharesNow[i] & 0xff)) / 255;
+            if (sumInEffect.asked[i] >= Shares.MIN_REQUESTS && points > newest.boundPoints()) {
+                return "class " + i + " served " + 100 * (sharesNow[i] & 0xff) / 255 + " after "
+                        + 100 * (sharesBefore[i] & 0xff) / 255;
             }
         }
-        int more = 100 * ((is[PolicyMessage.CLASSES] & 0xff) - (was[PolicyMessage.CLASSES] & 0xff)) / 255;
+        int more =
+                100 * ((sharesNow[PolicyMessage.CLASSES] & 0xff) - (sharesBefore[PolicyMessage.CLASSES] & 0xff)) / 255;
         return more > newest.boundPoints()
-                ? "refused " + 100 * (is[PolicyMessage.CLASSES] & 0xff) / 255 + " after "
-                        + 100 * (was[PolicyMessage.CLASSES] & 0xff) / 255
+                ? "refused " + 100 * (sharesNow[PolicyMessage.CLASSES] & 0xff) / 255 + " after "
+                        + 100 * (sharesBefore[PolicyMessage.CLASSES] & 0xff) / 255
                 : null;
     }
 }
--- a/src/main/java/slateseam/tier/policy/PolicyMessage.java
+++ b/src/main/java/slateseam/tier/policy/PolicyMessage.java
@@ -19,7 +19,7 @@
  */
 sealed interface PolicyMessage {
     byte MAGIC = (byte) 0xb9;
-    int MOST_BYTES = 256;
+    int MAX_DATAGRAM_BYTES = 256;
     /** Number of request classes whose shares are reported. */
     int CLASSES = 6;
     /**
@@ -77,7 +77,7 @@
      * @param leader the router that leads, as far as the sender knows; -1 for none
      * @param voters the routers that vote
      */
-    record Word(
+    record PollReply(
             long group,
             int from,
             int sequence,
@@ -91,19 +91,19 @@
             implements PolicyMessage {}
 
     /** Requests parts of a content. */
-    record Want(byte[] hash, int[] parts) implements PolicyMessage {}
+    record PartsRequest(byte[] hash, int[] parts) implements PolicyMessage {}
 
     /** Carries one part of a content. */
     record Part(byte[] hash, int index, byte[] bytes) implements PolicyMessage {}
 
     /** Submits a proposal to the leader, which fetches the document from the sender. */
-    record Ask(int from, Version version) implements PolicyMessage {}
+    record ProposalRequest(int from, Version version) implements PolicyMessage {}
 
     default byte[] encode() {
-        ByteBuffer out = ByteBuffer.allocate(2 * MOST_BYTES);
+        ByteBuffer out = ByteBuffer.allocate(2 * MAX_DATAGRAM_BYTES);
         int kind = this instanceof Poll poll
-                ? poll.accepted.length > AcceptedRouters.MOST_BIT_BYTES ? POLL_WITH_RANGES : 0
-                : this instanceof Word ? 1 : this instanceof Want ? 2 : this instanceof Part ? 3 : 4;
+                ? poll.accepted.length > AcceptedRouters.MAX_BITMAP_BYTES ? POLL_WITH_RANGES : 0
+                : this instanceof PollReply ? 1 : this instanceof PartsRequest ? 2 : this instanceof Part ? 3 : 4;
         out.put(MAGIC).put((byte) 1).put((byte) kind).put((byte) 0).putInt(0);
         if (this instanceof Poll t) {
             out.putLong(t.group)
@@ -118,8 +118,8 @@
             }
             out.putShort(scaled(t.refused, largest));
             out.put((byte) t.accepted.length).put(t.accepted).putShort((short) t.refuser);
-            Version.put(out, t.why, Math.min(Version.MOST_CAUSE, MOST_BYTES - out.position() - 1));
-        } else if (this instanceof Word t) {
+            Version.put(out, t.why, Math.min(Version.MAX_CAUSE_BYTES, MAX_DATAGRAM_BYTES - out.position() - 1));
+        } else if (this instanceof PollReply t) {
             out.putLong(t.group)
                     .putShort((short) t.from)
                     .putInt(t.sequence)
@@ -133,14 +133,14 @@
             for (int voter : t.voters) {
                 out.putShort((short) voter);
             }
-        } else if (this instanceof Want t) {
+        } else if (this instanceof PartsRequest t) {
             out.put(t.hash).put((byte) t.parts.length);
             for (int part : t.parts) {
                 out.putShort((short) part);
             }
         } else if (this instanceof Part t) {
             out.put(t.hash).putShort((short) t.index).put((byte) t.bytes.length).put(t.bytes);
-        } else if (this instanceof Ask t) {
+        } else if (this instanceof ProposalRequest t) {
             out.putShort((short) t.from);
             t.version.put(out);
         }
@@ -168,7 +168,7 @@
     /** Decodes a datagram; returns null if it is damaged or not a known message. */
     static PolicyMessage decode(byte[] bytes) {
         if (bytes.length < 8
-                || bytes.length > MOST_BYTES
+                || bytes.length > MAX_DATAGRAM_BYTES
                 || bytes[0] != MAGIC
                 || bytes[1] != 1
                 || ByteBuffer.wrap(bytes).getInt(4) != checksum(bytes)) {
@@ -176,11 +176,11 @@
         }
         try {
             ByteBuffer in = ByteBuffer.wrap(bytes).position(8);
-            PolicyMessage talk = switch (bytes[2]) {
+            PolicyMessage message = switch (bytes[2]) {
                 case 0 -> poll(in, false);
                 case POLL_WITH_RANGES -> poll(in, true);
                 case 1 ->
-                    new Word(
+                    new PollReply(
                             in.getLong(),
                             in.getShort(),
                             in.getInt(),
@@ -190,14 +190,14 @@
                             in.getInt(),
                             in.getInt(),
                             in.getShort(),
-                            numbers(in));
-                case 2 -> new Want(Version.bytes(in, Version.HASH_BYTES), numbers(in));
+                            readNumbers(in));
+                case 2 -> new PartsRequest(Version.bytes(in, Version.HASH_BYTES), readNumbers(in));
                 case 3 ->
                     new Part(Version.bytes(in, Version.HASH_BYTES), in.getShort(), Version.bytes(in, in.get() & 0xff));
-                case 4 -> new Ask(in.getShort(), Version.get(in));
+                case 4 -> new ProposalRequest(in.getShort(), Version.get(in));
                 default -> null;
             };
-            return in.hasRemaining() ? null : talk;
+            return in.hasRemaining() ? null : message;
         } catch (BufferUnderflowException | IndexOutOfBoundsException | NegativeArraySizeException e) {
             return null;
         }
@@ -218,7 +218,7 @@
         }
         int refused = in.getShort();
         byte[] accepted = Version.bytes(in, in.get() & 0xff);
-        if (ranges != accepted.length > AcceptedRouters.MOST_BIT_BYTES) {
+        if (ranges != accepted.length > AcceptedRouters.MAX_BITMAP_BYTES) {
             return null;
         }
         return new Poll(
@@ -236,7 +236,7 @@
                 refused);
     }
 
-    private static int[] numbers(ByteBuffer in) {
+    private static int[] readNumbers(ByteBuffer in) {
         List<Integer> numbers = new ArrayList<>();
         for (int i = in.get(); i > 0; i--) {
             numbers.add((int) in.getShort());
--- a/src/main/java/slateseam/tier/policy/PolicySettings.java
+++ b/src/main/java/slateseam/tier/policy/PolicySettings.java
@@ -31,7 +31,7 @@
     }
 
     /** Returns how long a proposed version waits for a router that is alive but does not answer. */
-    long patienceNanos() {
+    long decisionTimeoutNanos() {
         return 2 * leaseNanos;
     }
 }
--- a/src/main/java/slateseam/tier/policy/Shares.java
+++ b/src/main/java/slateseam/tier/policy/Shares.java
@@ -10,14 +10,14 @@
 final class Shares {
     private static final long SECOND = 1_000_000_000L;
     /** Time for which the sums that another router reported are used. */
-    private static final long FRESH_NANOS = 3 * SECOND / 2;
+    private static final long MAX_REPORT_AGE_NANOS = 3 * SECOND / 2;
     /** Number of past seconds whose sums are kept. */
-    private static final int KEPT = 5;
+    private static final int KEPT_SECONDS = 5;
     /** Minimum number of requests for a meaningful share. */
-    static final int LEAST_ASKED = 40;
+    static final int MIN_REQUESTS = 40;
 
     /** The last report of another router. */
-    private record Told(PolicyMessage.Poll poll, long at) {}
+    private record Report(PolicyMessage.Poll poll, long at) {}
 
     /** Sums of requests over a time. */
     static final class Sum {
@@ -42,22 +42,22 @@
             long all = 0;
             for (int i = 0; i < PolicyMessage.CLASSES; i++) {
                 all += asked[i];
-                shares[i] = (byte) (asked[i] < LEAST_ASKED ? 255 : Math.min(255, 255 * served[i] / asked[i]));
+                shares[i] = (byte) (asked[i] < MIN_REQUESTS ? 255 : Math.min(255, 255 * served[i] / asked[i]));
             }
-            shares[PolicyMessage.CLASSES] = (byte) (all < LEAST_ASKED ? 0 : Math.min(255, 255 * refused / all));
+            shares[PolicyMessage.CLASSES] = (byte) (all < MIN_REQUESTS ? 0 : Math.min(255, 255 * refused / all));
             return shares;
         }
     }
 
-    private final Map<Integer, Told> children = new HashMap<>();
-    private final Deque<Sum> last = new ArrayDeque<>();
-    private Tally before;
+    private final Map<Integer, Report> children = new HashMap<>();
+    private final Deque<Sum> recentSums = new ArrayDeque<>();
+    private Tally previous;
     private Sum own = new Sum();
     private long nextAt;
 
     /** Records another router's report on itself and on the routers that report to it. */
-    void told(PolicyMessage.Poll poll, long now) {
-        children.put(poll.from(), new Told(poll, now));
+    void report(PolicyMessage.Poll poll, long now) {
+        children.put(poll.from(), new Report(poll, now));
     }
 
     /** Returns whether a one-second interval has ended, in which case the sums of that second are updated. */
@@ -67,30 +67,30 @@
         }
         nextAt = now + SECOND;
         own = new Sum();
-        for (int i = 0; before != null && i < Math.min(PolicyMessage.CLASSES, tally.asked().length); i++) {
-            own.asked[i] = tally.asked()[i] - (i < before.asked().length ? before.asked()[i] : 0);
-            own.served[i] = tally.served()[i] - (i < before.served().length ? before.served()[i] : 0);
+        for (int i = 0; previous != null && i < Math.min(PolicyMessage.CLASSES, tally.asked().length); i++) {
+            own.asked[i] = tally.asked()[i] - (i < previous.asked().length ? previous.asked()[i] : 0);
+            own.served[i] = tally.served()[i] - (i < previous.served().length ? previous.served()[i] : 0);
         }
-        own.refused = before == null ? 0 : tally.refused() - before.refused();
-        before = tally;
-        last.add(sum(now));
-        if (last.size() > KEPT) {
-            last.poll();
+        own.refused = previous == null ? 0 : tally.refused() - previous.refused();
+        previous = tally;
+        recentSums.add(sum(now));
+        if (recentSums.size() > KEPT_SECONDS) {
+            recentSums.poll();
         }
         return true;
     }
 
     /** Returns the last second's sum of this router and of all routers that report to it. */
     Sum sum(long now) {
-        children.values().removeIf(told -> now - told.at > FRESH_NANOS);
+        children.values().removeIf(report -> now - report.at > MAX_REPORT_AGE_NANOS);
         Sum sum = new Sum();
         sum.add(own);
-        for (Told told : children.values()) {
+        for (Report report : children.values()) {
             for (int i = 0; i < PolicyMessage.CLASSES; i++) {
-                sum.asked[i] += told.poll.asked()[i];
-                sum.served[i] += told.poll.served()[i];
+                sum.asked[i] += report.poll.asked()[i];
+                sum.served[i] += report.poll.served()[i];
             }
-            sum.refused += told.poll.refused();
+            sum.refused += report.poll.refused();
         }
         return sum;
     }
@@ -98,7 +98,7 @@
     /** Returns the sum over the last seconds. */
     Sum recent() {
         Sum sum = new Sum();
-        last.forEach(sum::add);
+        recentSums.forEach(sum::add);
         return sum;
     }
 }
--- a/src/main/java/slateseam/tier/policy/Tree.java
+++ b/src/main/java/slateseam/tier/policy/Tree.java
@@ -16,17 +16,17 @@
     /** Number of non-voting routers that poll the same router. */
     private static final int BRANCHES = 4;
     /** Number of polls without a reply after which a router polls a random other router. */
-    private static final int UNANSWERED = 3;
+    private static final int MAX_UNANSWERED_POLLS = 3;
 
     private final PolicySettings settings;
     private final RandomGenerator random;
     private Set<Integer> alive = Set.of();
     /** The routers in {@link #alive}, in ascending order. */
     private List<Integer> ordered = List.of();
-    /** The routers of {@link #ordered} that neither vote nor are to vote, while {@link #learnersWithout} vote. */
+    /** The routers of {@link #ordered} that neither vote nor are to vote, while {@link #learnersVoting} vote. */
     private List<Integer> learners = List.of();
 
-    private Set<Integer> learnersWithout;
+    private Set<Integer> learnersVoting;
     private int unanswered;
 
     Tree(PolicySettings settings, RandomGenerator random) {
@@ -34,21 +34,21 @@
         this.random = random;
     }
 
-    void alive(Set<Integer> routers) {
+    void setAlive(Set<Integer> routers) {
         if (routers != alive && !routers.equals(alive)) {
             ordered = routers.stream().sorted().toList();
-            learnersWithout = null;
+            learnersVoting = null;
         }
         alive = routers;
     }
 
     /** Records that a poll was sent. */
-    void asked() {
+    void pollSent() {
         unanswered++;
     }
 
     /** Records that a reply was received. */
-    void answered() {
+    void replyReceived() {
         unanswered = 0;
     }
 
@@ -56,15 +56,15 @@
      * Returns the router to poll while no group is known: a random one that has not answered yet, or else any other;
      * -1 for none.
      */
-    int next(Set<Integer> answered) {
+    int nextWithoutGroup(Set<Integer> answered) {
         List<Integer> open = new ArrayList<>(ordered);
         open.removeIf(router -> router == settings.me() || answered.contains(router));
         return open.isEmpty() ? parent(-1, Set.of()) : open.get(random.nextInt(open.size()));
     }
 
     private List<Integer> learners(Set<Integer> voting) {
-        if (!voting.equals(learnersWithout)) {
-            learnersWithout = Set.copyOf(voting);
+        if (!voting.equals(learnersVoting)) {
+            learnersVoting = Set.copyOf(voting);
             learners = ordered.stream()
                     .filter(router ->
                             !voting.contains(router) && !settings.voters().contains(router))
@@ -76,7 +76,7 @@
     /** Returns the router to poll now; -1 for none. */
     int parent(int leader, Set<Integer> voting) {
         int me = settings.me();
-        if (unanswered < UNANSWERED) {
+        if (unanswered < MAX_UNANSWERED_POLLS) {
             if (leader >= 0
                     && leader != me
                     && (voting.contains(me) || settings.voters().contains(me))) {
--- a/src/main/java/slateseam/tier/policy/Verdicts.java
+++ b/src/main/java/slateseam/tier/policy/Verdicts.java
@@ -34,7 +34,7 @@
     }
 
     /** Adds the verdicts that another router reports, if they are about the same version. */
-    void take(PolicyMessage.Poll poll) {
+    void addFrom(PolicyMessage.Poll poll) {
         if (poll.open() == number && number != 0) {
             accepted.addAll(poll.accepted());
             if (poll.refuser() >= 0) {
@@ -44,7 +44,7 @@
     }
 
     /** Returns the accepting routers as encoded in the next message. */
-    byte[] bytes() {
+    byte[] encodeAccepted() {
         return accepted.encode();
     }
 
@@ -56,11 +56,11 @@
         return why;
     }
 
-    boolean has(int router) {
+    boolean hasAccepted(int router) {
         return accepted.contains(router);
     }
 
-    boolean hasAll(Set<Integer> routers) {
+    boolean haveAllAccepted(Set<Integer> routers) {
         return routers.stream().allMatch(accepted::contains);
     }
 }
--- a/src/main/java/slateseam/tier/policy/Version.java
+++ b/src/main/java/slateseam/tier/policy/Version.java
@@ -40,7 +40,7 @@
     /** Maximum length of a name in bytes. */
     public static final int MOST_NAME = 32;
     /** Maximum length of a cause in bytes; longer causes are cut off. */
-    static final int MOST_CAUSE = 90;
+    static final int MAX_CAUSE_BYTES = 90;
 
     static final int HASH_BYTES = 16;
 
@@ -64,11 +64,11 @@
     }
 
     /** Returns whether the version was committed, even if it was undone later. */
-    public boolean isDecidedFor() {
+    public boolean wasCommitted() {
         return state == State.COMMITTED || state == State.SETTLED || state == State.UNDONE;
     }
 
-    Version as(State later, String why) {
+    Version withState(State later, String why) {
         return new Version(
                 number,
                 name,
@@ -104,7 +104,7 @@
                 shares);
     }
 
-    Version numbered(int next) {
+    Version withNumber(int next) {
         return new Version(
                 next,
                 name,
@@ -134,7 +134,7 @@
                 .putLong(atMillis)
                 .putInt(undoes)
                 .put((byte) state.ordinal());
-        put(out, cause, MOST_CAUSE);
+        put(out, cause, MAX_CAUSE_BYTES);
         out.put((byte) before.length).put(before);
     }
 
@@ -161,9 +161,9 @@
                 bytes(in, in.get()));
     }
 
-    static void put(ByteBuffer out, String text, int most) {
+    static void put(ByteBuffer out, String text, int maxBytes) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        int length = Math.min(most, bytes.length);
+        int length = Math.min(maxBytes, bytes.length);
         while (length > 0 && length < bytes.length && (bytes[length] & 0xc0) == 0x80) {
             length--; // does not cut within a UTF-8 character
         }
@@ -181,7 +181,7 @@
     }
 
     /** Returns whether the version has the given name and the given document hash. */
-    boolean isLike(String aName, byte[] aHash) {
+    boolean matches(String aName, byte[] aHash) {
         return name.equals(aName) && Arrays.equals(hash, aHash);
     }
 }
--- a/src/main/java/slateseam/tier/policy/Versions.java
+++ b/src/main/java/slateseam/tier/policy/Versions.java
@@ -14,9 +14,9 @@
  */
 public final class Versions {
     /** Maximum number of versions that are kept. */
-    public static final int MOST = 200;
+    public static final int MAX_VERSIONS = 200;
 
-    private static final int MOST_REJECTED = 40;
+    private static final int MAX_REJECTED = 40;
     private static final byte FORMAT = 1;
 
     /** A rejected proposal: the hash of its document and the cause. */
@@ -67,7 +67,7 @@
     /** Returns the newest version that was committed; null if there is none. */
     public Version newest() {
         for (int i = all.size() - 1; i >= 0; i--) {
-            if (all.get(i).isDecidedFor()) {
+            if (all.get(i).wasCommitted()) {
                 return all.get(i);
             }
         }
@@ -77,7 +77,7 @@
     /** Returns the last committed version before the given one; null if there is none. */
     Version before(Version version) {
         for (int i = all.size() - 1; i >= 0; i--) {
-            if (all.get(i).isDecidedFor() && all.get(i).number() < version.number()) {
+            if (all.get(i).wasCommitted() && all.get(i).number() < version.number()) {
                 return all.get(i);
             }
         }
@@ -105,16 +105,16 @@
     }
 
     private void propose(Version version) {
-        Version same = find(version.name());
-        if (same != null && same.isLike(version.name(), version.hash())) {
+        Version existing = find(version.name());
+        if (existing != null && existing.matches(version.name(), version.hash())) {
             return; // a repetition of the same proposal
         }
         Version open = open();
-        if (same != null) {
+        if (existing != null) {
             reject(
                     version.name(),
                     version.hash(),
-                    "version " + same.number() + " was proposed by that name with another content");
+                    "version " + existing.number() + " was proposed by that name with another content");
         } else if (open != null) {
             reject(
                     version.name(),
@@ -122,16 +122,19 @@
                     "beaten by " + open.name() + ", proposed at router " + open.proposer());
         } else {
             rejected.remove(version.name());
-            all.add(version.numbered(all.isEmpty() ? 1 : all.get(all.size() - 1).number() + 1));
+            all.add(version.withNumber(
+                    all.isEmpty() ? 1 : all.get(all.size() - 1).number() + 1));
             // Drops the oldest versions, so that the version in effect and the one before it are not forgotten.
-            while (all.size() > MOST) {
+            while (all.size() > MAX_VERSIONS) {
                 all.remove(0);
             }
         }
     }
 
     private void decide(Version open, Command.Decide c) {
-        all.set(all.size() - 1, c.committed() ? open.committed(c.before()) : open.as(Version.State.ABORTED, c.cause()));
+        all.set(
+                all.size() - 1,
+                c.committed() ? open.committed(c.before()) : open.withState(Version.State.ABORTED, c.cause()));
         if (c.committed() && open.undoes() != 0) {
             replace(
                     open.undoes(),
@@ -144,14 +147,14 @@
     private void replace(int number, Version.State from, Version.State to, String cause) {
         for (int i = 0; i < all.size(); i++) {
             if (all.get(i).number() == number && (from == null || all.get(i).state() == from)) {
-                all.set(i, all.get(i).as(to, cause == null ? all.get(i).cause() : cause));
+                all.set(i, all.get(i).withState(to, cause == null ? all.get(i).cause() : cause));
             }
         }
     }
 
     private void reject(String name, byte[] hash, String cause) {
         rejected.put(name, new Rejected(hash, cause));
-        if (rejected.size() > MOST_REJECTED) {
+        if (rejected.size() > MAX_REJECTED) {
             rejected.remove(rejected.keySet().iterator().next());
         }
     }
@@ -165,7 +168,7 @@
         rejected.forEach((name, one) -> {
             Version.put(out, name, Version.MOST_NAME);
             out.put(one.hash);
-            Version.put(out, one.cause, Version.MOST_CAUSE);
+            Version.put(out, one.cause, Version.MAX_CAUSE_BYTES);
         });
         return Arrays.copyOf(out.array(), out.position());
     }
--- a/src/test/java/slateseam/simulate/PolicyBugs.java
+++ b/src/test/java/slateseam/simulate/PolicyBugs.java
@@ -33,8 +33,8 @@
                 bug(
                         "a change does not wait for all",
                         AT + "PolicyCoordinator",
-                        "} else if (kept && sure && verdicts.hasAll(alive)) {",
-                        "} else if (kept && sure) {"),
+                        "} else if (majorityHasDocument && viewTrusted && verdicts.haveAllAccepted(alive)) {",
+                        "} else if (majorityHasDocument && viewTrusted) {"),
                 bug(
                         "one that was away serves what was before the last but one",
                         AT + "Policy",
@@ -58,7 +58,7 @@
                 bug(
                         "a state is taken for known before it is here",
                         AT + "Policy",
-                        "            if (versions == null || versions.revision() != newer.word.revision()) {\n                return;\n            }\n            learned = versions;",
+                        "            if (versions == null || versions.revision() != newer.reply.revision()) {\n                return;\n            }\n            learned = versions;",
                         "            if (versions != null) {\n                learned = versions;\n            }"),
                 bug(
                         "a lost memory is written on",
--- a/src/test/java/slateseam/tier/policy/LargeTierPolicyTest.java
+++ b/src/test/java/slateseam/tier/policy/LargeTierPolicyTest.java
@@ -51,7 +51,7 @@
             for (int message = 0; message < routers / 1_024 + 1; message++) {
                 byte[] bytes = poll(accepted.encode(), new int[PolicyMessage.CLASSES], new int[PolicyMessage.CLASSES])
                         .encode();
-                assertThat(bytes.length).isLessThanOrEqualTo(PolicyMessage.MOST_BYTES);
+                assertThat(bytes.length).isLessThanOrEqualTo(PolicyMessage.MAX_DATAGRAM_BYTES);
                 told.addAll(((PolicyMessage.Poll) PolicyMessage.decode(bytes)).accepted());
             }
             IntStream.range(0, routers)
@@ -79,11 +79,12 @@
         all.forEach(teller::accept);
         Verdicts told = new Verdicts();
         told.begin(VERSION);
-        PolicyMessage.Poll poll = poll(teller.bytes(), new int[PolicyMessage.CLASSES], new int[PolicyMessage.CLASSES]);
+        PolicyMessage.Poll poll =
+                poll(teller.encodeAccepted(), new int[PolicyMessage.CLASSES], new int[PolicyMessage.CLASSES]);
         if (PolicyMessage.decode(poll.encode()) instanceof PolicyMessage.Poll read) {
-            told.take(read);
+            told.addFrom(read);
         }
-        return told.hasAll(all);
+        return told.haveAllAccepted(all);
     }
 
     @Test
@@ -101,7 +102,7 @@
         PolicyMessage.Poll poll = poll(new byte[0], filled(asked), filled(served));
         Shares shares = new Shares();
         shares.tick(new Tally(new long[PolicyMessage.CLASSES], new long[PolicyMessage.CLASSES], 0), SECOND);
-        shares.told((PolicyMessage.Poll) PolicyMessage.decode(poll.encode()), SECOND);
+        shares.report((PolicyMessage.Poll) PolicyMessage.decode(poll.encode()), SECOND);
         return (shares.sum(SECOND).shares()[0] & 0xff) / 255.0;
     }
 
--- a/src/test/java/slateseam/tier/policy/TreeTest.java
+++ b/src/test/java/slateseam/tier/policy/TreeTest.java
@@ -27,7 +27,7 @@
             Set<Integer> voting = drawn(random, TO_VOTE.size());
             voting.add(0);
             alive.add(0);
-            tree.alive(alive);
+            tree.setAlive(alive);
 
             TreeSet<Integer> above = new TreeSet<>(voting);
             above.retainAll(alive);
