--- a/src/test/java/slateseam/simulate/tier/PolicyHardCasesTest.java
+++ b/src/test/java/slateseam/simulate/tier/PolicyHardCasesTest.java
@@ -10,7 +10,10 @@
 import slateseam.tier.policy.PolicySettings;
 import slateseam.tier.policy.Version;
 
-/** What befalls a change of policy, one thing at a time; five routers of which three vote, unless said otherwise. */
+/**
+ * Policy changes under single faults and conflicts, such as lost routers, refusals and concurrent proposals. There are five
+ * routers of which three vote, unless a test says otherwise.
+ */
 class PolicyHardCasesTest {
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000 * MILLI;
@@ -50,7 +53,10 @@
         assertThat(world.policy(3).outcome(version)).isEqualTo("settled");
     }
 
-    /** The one that is cut off stops before the version holds; nobody ever serves the old beside the new for longer than a word needs. */
+    /**
+     * A router that is cut off as the change is decided stops serving before the version takes effect. The old and the
+     * new version are served side by side only for as long as a message takes.
+     */
     @Test
     void oneThatIsCutOffAsTheChangeIsDecidedStopsBeforeItHolds() {
         PolicyWorld world = world(5);
@@ -113,7 +119,7 @@
         Policy asked = world.policy(2);
         String lost = asked.versions().find("one") == null ? asked.outcome(one) : asked.outcome(other);
         assertThat(lost).matches("rejected: beaten by (one|other), proposed at router [13]");
-        // The same once more counts once, and another content by that name not at all.
+        // Proposes another document by the name of the committed version, which is rejected and adds no version.
         world.propose(2, asked.versions().newest().name(), "another", true, 0);
         run(world, SECOND);
         assertThat(asked.versions().all()).hasSize(1);
@@ -123,7 +129,7 @@
     @Test
     void aSilentOneHoldsAChangeUpForItsPatienceAtMost() {
         PolicyWorld world = world(5);
-        world.net().mute(4, 5, true); // alive for the others' view, which this world tells from what the test says
+        world.net().mute(4, 5, true); // still alive in the membership view, which the test sets directly
         Version all = world.propose(0, "all", "for all", true, 0);
         run(world, 6 * SECOND);
         assertThat(world.policy(0).outcome(all)).isEqualTo("aborted");
@@ -160,7 +166,10 @@
         assertThat(world.isWhole()).isTrue();
     }
 
-    /** The leader is killed, or stands still and wakes, at each 20 ms of a change: nobody is late beyond an election and the hold anew. */
+    /**
+     * The leader is killed, or paused and resumed, in turn: every 10 ms in the first 400 ms of a change, and every 100 ms
+     * from 4 s on. No router is later than an election and a second hold time allow.
+     */
     @Test
     void theLeaderIsLostAtEachStep() {
         for (int at = 0; at < 60; at++) {
--- a/src/test/java/slateseam/tier/policy/LargeTierPolicyTest.java
+++ b/src/test/java/slateseam/tier/policy/LargeTierPolicyTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import slateseam.tier.policy.PolicyPort.Tally;
 
-/** What routers tell one another of a change, at the number of routers and requests to plan for (docs/CAPACITY.md). */
+/** Poll contents at the number of routers and the request rates that the tier is planned for (docs/CAPACITY.md). */
 final class LargeTierPolicyTest {
     private static final int ROUTERS = 2_000;
     private static final int VERSION = 1;
@@ -26,16 +26,19 @@
     }
 
     /**
-     * What happened: no change that all must take was committed beyond 1,024 routers; the coordinator gave up after its patience with "did
-     * not answer in time". Why: who has accepted was told as a bit for each router in at most 128 bytes, and further ones were cut off.
-     * What showed it: 2,000 accepted, 1,024 of them were in what the message told.
+     * Guards against cutting off the list of accepting routers. A bitmap of at most 128 bytes held only the first 1,024
+     * of 2,000 accepting routers, so that beyond 1,024 routers no version that all must accept was committed; the
+     * coordinator aborted each with "did not answer in time".
      */
     @Test
     void thatTwoThousandRoutersTakeAVersionIsTold() {
         assertThat(isTold(ROUTERS)).isTrue();
     }
 
-    /** Whoever has accepted is told within one message for each 1,024 routers and one more, and nobody else ever. */
+    /**
+     * All accepting routers are reported within one message for each 1,024 routers and one more, and no other router is
+     * ever reported.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1_024, 1_025, 2_000, 8_192})
     void anySetOfRoutersIsToldAndNobodyBeside(int routers) {
@@ -61,7 +64,7 @@
         }
     }
 
-    /** A build that knows bits alone must not read ranges as such: it would take routers for ones that have accepted. */
+    /** An earlier build that knows only bitmaps must not read ranges as a bitmap, which would give false acceptances. */
     @Test
     void rangesAreOfAKindThatEarlierBuildsPassOver() {
         AcceptedRouters accepted = new AcceptedRouters();
@@ -97,7 +100,7 @@
         assertThat(servedShare(65_000, 40_000)).isBetween(0.55, 0.68);
     }
 
-    /** What a router that asks nothing itself takes for the served share of the one below it. */
+    /** Returns the served share that a router without requests of its own computes from the report of another router. */
     private static double servedShare(int asked, int served) {
         PolicyMessage.Poll poll = poll(new byte[0], filled(asked), filled(served));
         Shares shares = new Shares();
--- a/src/test/java/slateseam/tier/policy/TreeTest.java
+++ b/src/test/java/slateseam/tier/policy/TreeTest.java
@@ -9,7 +9,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Whom a router asks while others come and go and who votes changes. */
+/** Tests which router is polled while other routers join and leave and the voters change. */
 final class TreeTest {
     private static final int ROUTERS = 60;
     private static final int STEPS = 400;
