--- a/src/main/java/slateseam/tier/policy/AcceptedRouters.java
+++ b/src/main/java/slateseam/tier/policy/AcceptedRouters.java
@@ -16,6 +16,7 @@
     /** Number of routers up to which the set is encoded as a plain bitmap. */
     static final int MAX_BITMAP_ROUTERS = 1_024;
 
+    /** Length of the longest plain bitmap; a longer encoding is a block. */
     static final int MAX_BITMAP_BYTES = MAX_BITMAP_ROUTERS / Byte.SIZE;
     /** Size of a range: its first router and the number of routers, two bytes each. */
     private static final int RANGE_BYTES = 2 * Short.BYTES;
--- a/src/main/java/slateseam/tier/policy/DocumentStore.java
+++ b/src/main/java/slateseam/tier/policy/DocumentStore.java
@@ -23,7 +23,9 @@
     /** Size of a part; only the last part of a content may be shorter. */
     static final int PART_BYTES = 192;
 
+    /** Maximum number of contents that are fetched at once; a further one replaces the oldest. */
     private static final int MAX_FETCHES = 4;
+    /** Number of stored contents beyond which those that are not pinned are evicted. */
     private static final int MAX_STORED = 24;
     /** Maximum number of parts of one content that are requested and not yet received. */
     private static final int MAX_PARTS_IN_FLIGHT = 32;
--- a/src/main/java/slateseam/tier/policy/PolicyCoordinator.java
+++ b/src/main/java/slateseam/tier/policy/PolicyCoordinator.java
@@ -32,9 +32,13 @@
      */
     private final Map<String, Long> writtenAt = new HashMap<>();
 
+    /** The open version and the time since which this coordinator knows of it. */
     private int openNumber;
+
     private long openSince;
+    /** The watched version and the sum of requests since it took effect. */
     private int watchedNumber;
+
     private Shares.Sum sumInEffect = new Shares.Sum();
 
     /**
--- a/src/main/java/slateseam/tier/policy/Verdicts.java
+++ b/src/main/java/slateseam/tier/policy/Verdicts.java
@@ -26,6 +26,7 @@
         accepted.add(router);
     }
 
+    /** Records a refusal; only the first one is kept. */
     void refuse(int router, String cause) {
         if (refuser < 0) {
             refuser = router;
--- a/src/main/java/slateseam/tier/policy/Version.java
+++ b/src/main/java/slateseam/tier/policy/Version.java
@@ -42,6 +42,7 @@
     /** Maximum length of a cause in bytes; longer causes are cut off. */
     static final int MAX_CAUSE_BYTES = 90;
 
+    /** Length of a hash: the leading bytes of a SHA-256 digest. */
     static final int HASH_BYTES = 16;
 
     /** The states of a version. */
--- a/src/main/java/slateseam/tier/policy/Versions.java
+++ b/src/main/java/slateseam/tier/policy/Versions.java
@@ -16,7 +16,9 @@
     /** Maximum number of versions that are kept. */
     public static final int MAX_VERSIONS = 200;
 
+    /** Maximum number of rejected proposals that are kept. */
     private static final int MAX_REJECTED = 40;
+
     private static final byte FORMAT = 1;
 
     /** A rejected proposal: the hash of its document and the cause. */
