--- a/src/main/java/slateseam/tier/policy/PolicyMessage.java
+++ b/src/main/java/slateseam/tier/policy/PolicyMessage.java
@@ -9,7 +9,7 @@
 import java.util.zip.CRC32C;
 
 /**
- * What routers tell one another about versions, in datagrams of at most 256 bytes.
+ * Messages between routers about policy versions, in datagrams of at most 256 bytes.
  *
  * <pre>
  * 0  magic 0xB9      1  version 1      2  kind      3  zero
@@ -19,25 +19,28 @@
  */
 sealed interface PolicyMessage {
     byte MAGIC = (byte) 0xb9;
-    int MOST_BYTES = 256;
-    /** Classes whose shares are told. */
+    int MAX_DATAGRAM_BYTES = 256;
+    /** Number of request classes whose shares are reported. */
     int CLASSES = 6;
     /**
-     * The kind of a poll that tells of routers by ranges: another than that of one with a bit each, so that earlier builds
-     * pass over it and take nobody for one that has accepted.
+     * The kind of a poll that lists the accepting routers as ranges or a window. It differs from the kind of a poll
+     * with a plain bitmap, so that earlier builds ignore it instead of misreading it as acceptances.
      */
     int POLL_WITH_RANGES = 5;
 
     /**
-     * One asks another what it knows, and tells what it has to tell upwards.
+     * Asks another router for its newest state, and reports verdicts and request sums towards the leader.
      *
-     * @param memory of the asker, by which it may be taken in as a voter
-     * @param open the version that is looked at; 0 for none
-     * @param accepted who takes it, as far as the asker knows and the message tells ({@link AcceptedRouters})
-     * @param refuser who does not; -1 for nobody
-     * @param asked,served requests a second of each class at the asker and those that ask it; beyond 32,767 all sums of the message are
-     *     told smaller by one factor, which keeps the shares
-     * @param refused unavailable answers a second there
+     * @param memory the identity of the sender's durable state, by which the leader may admit it as a voter
+     * @param open the number of the version to be decided on; 0 for none
+     * @param accepted the routers that accept the open version, as far as the sender knows and the message can hold;
+     *     see {@link AcceptedRouters}
+     * @param refuser the router that refuses the open version; -1 for none
+     * @param why why that router refuses the version
+     * @param asked,served requests of each class in the last second that arrived and that were served, at the sender
+     *     and all routers that report to it; if a sum exceeds 32,767, all sums of the message are scaled down by the
+     *     same factor, which keeps the shares
+     * @param refused requests answered as unavailable in the last second, at the same routers
      */
     record Poll(
             long group,
@@ -53,7 +56,7 @@
             int[] served,
             int refused)
             implements PolicyMessage {
-        /** The largest of the sums that it tells. */
+        /** Returns the largest of the reported sums. */
         int largestSum() {
             int largestOfClasses = IntStream.concat(Arrays.stream(asked), Arrays.stream(served))
                     .max()
@@ -63,12 +66,18 @@
     }
 
     /**
-     * The answer: what the newest state is, how old that knowledge is at the most, and how long it is until the newest version holds.
+     * The reply to a poll.
      *
-     * @param leader the router that leads, as far as one knows; -1 for none
+     * @param sequence the sequence number of the poll
+     * @param revision the revision of the newest state known to the sender
+     * @param hash the hash of that state, by which it can be fetched
+     * @param length the length of that state in bytes
+     * @param ageMillis the maximum age of the sender's knowledge; -1 if it knows nothing
+     * @param holdsInMillis the time until the newest version takes effect; 0 if it is in effect
+     * @param leader the router that leads, as far as the sender knows; -1 for none
      * @param voters the routers that vote
      */
-    record Word(
+    record PollReply(
             long group,
             int from,
             int sequence,
@@ -81,20 +90,20 @@
             int[] voters)
             implements PolicyMessage {}
 
-    /** Parts of a content are asked for. */
-    record Want(byte[] hash, int[] parts) implements PolicyMessage {}
+    /** Requests parts of a content. */
+    record PartsRequest(byte[] hash, int[] parts) implements PolicyMessage {}
 
-    /** One of them. */
+    /** Carries one part of a content. */
     record Part(byte[] hash, int index, byte[] bytes) implements PolicyMessage {}
 
-    /** A proposal on its way to the leader, who gets its document from whom it came. */
-    record Ask(int from, Version version) implements PolicyMessage {}
+    /** Submits a proposal to the leader, which fetches the document from the sender. */
+    record ProposalRequest(int from, Version version) implements PolicyMessage {}
 
     default byte[] encode() {
-        ByteBuffer out = ByteBuffer.allocate(2 * MOST_BYTES);
+        ByteBuffer out = ByteBuffer.allocate(2 * MAX_DATAGRAM_BYTES);
         int kind = this instanceof Poll poll
-                ? poll.accepted.length > AcceptedRouters.MOST_BIT_BYTES ? POLL_WITH_RANGES : 0
-                : this instanceof Word ? 1 : this instanceof Want ? 2 : this instanceof Part ? 3 : 4;
+                ? poll.accepted.length > AcceptedRouters.MAX_BITMAP_BYTES ? POLL_WITH_RANGES : 0
+                : this instanceof PollReply ? 1 : this instanceof PartsRequest ? 2 : this instanceof Part ? 3 : 4;
         out.put(MAGIC).put((byte) 1).put((byte) kind).put((byte) 0).putInt(0);
         if (this instanceof Poll t) {
             out.putLong(t.group)
@@ -109,8 +118,8 @@
             }
             out.putShort(scaled(t.refused, largest));
             out.put((byte) t.accepted.length).put(t.accepted).putShort((short) t.refuser);
-            Version.put(out, t.why, Math.min(Version.MOST_CAUSE, MOST_BYTES - out.position() - 1));
-        } else if (this instanceof Word t) {
+            Version.put(out, t.why, Math.min(Version.MAX_CAUSE_BYTES, MAX_DATAGRAM_BYTES - out.position() - 1));
+        } else if (this instanceof PollReply t) {
             out.putLong(t.group)
                     .putShort((short) t.from)
                     .putInt(t.sequence)
@@ -124,14 +133,14 @@
             for (int voter : t.voters) {
                 out.putShort((short) voter);
             }
-        } else if (this instanceof Want t) {
+        } else if (this instanceof PartsRequest t) {
             out.put(t.hash).put((byte) t.parts.length);
             for (int part : t.parts) {
                 out.putShort((short) part);
             }
         } else if (this instanceof Part t) {
             out.put(t.hash).putShort((short) t.index).put((byte) t.bytes.length).put(t.bytes);
-        } else if (this instanceof Ask t) {
+        } else if (this instanceof ProposalRequest t) {
             out.putShort((short) t.from);
             t.version.put(out);
         }
@@ -143,7 +152,9 @@
         return i < numbers.length ? numbers[i] : 0;
     }
 
-    /** A sum as it fits into 15 bits: where the largest of a message does not fit, all become smaller by the same factor. */
+    /**
+     * Scales a sum to 15 bits: if the largest sum of the message does not fit, all are reduced by the same factor.
+     */
     private static short scaled(int sum, int largest) {
         return (short) (largest <= Short.MAX_VALUE ? sum : (long) sum * Short.MAX_VALUE / largest);
     }
@@ -154,10 +165,10 @@
         return (int) sum.getValue();
     }
 
-    /** Reads a datagram; null for what is none of these, or is damaged. */
+    /** Decodes a datagram; returns null if it is damaged or not a known message. */
     static PolicyMessage decode(byte[] bytes) {
         if (bytes.length < 8
-                || bytes.length > MOST_BYTES
+                || bytes.length > MAX_DATAGRAM_BYTES
                 || bytes[0] != MAGIC
                 || bytes[1] != 1
                 || ByteBuffer.wrap(bytes).getInt(4) != checksum(bytes)) {
@@ -165,11 +176,11 @@
         }
         try {
             ByteBuffer in = ByteBuffer.wrap(bytes).position(8);
-            PolicyMessage talk = switch (bytes[2]) {
+            PolicyMessage message = switch (bytes[2]) {
                 case 0 -> poll(in, false);
                 case POLL_WITH_RANGES -> poll(in, true);
                 case 1 ->
-                    new Word(
+                    new PollReply(
                             in.getLong(),
                             in.getShort(),
                             in.getInt(),
@@ -179,14 +190,14 @@
                             in.getInt(),
                             in.getInt(),
                             in.getShort(),
-                            numbers(in));
-                case 2 -> new Want(Version.bytes(in, Version.HASH_BYTES), numbers(in));
+                            readNumbers(in));
+                case 2 -> new PartsRequest(Version.bytes(in, Version.HASH_BYTES), readNumbers(in));
                 case 3 ->
                     new Part(Version.bytes(in, Version.HASH_BYTES), in.getShort(), Version.bytes(in, in.get() & 0xff));
-                case 4 -> new Ask(in.getShort(), Version.get(in));
+                case 4 -> new ProposalRequest(in.getShort(), Version.get(in));
                 default -> null;
             };
-            return in.hasRemaining() ? null : talk;
+            return in.hasRemaining() ? null : message;
         } catch (BufferUnderflowException | IndexOutOfBoundsException | NegativeArraySizeException e) {
             return null;
         }
@@ -207,7 +218,7 @@
         }
         int refused = in.getShort();
         byte[] accepted = Version.bytes(in, in.get() & 0xff);
-        if (ranges != accepted.length > AcceptedRouters.MOST_BIT_BYTES) {
+        if (ranges != accepted.length > AcceptedRouters.MAX_BITMAP_BYTES) {
             return null;
         }
         return new Poll(
@@ -225,7 +236,7 @@
                 refused);
     }
 
-    private static int[] numbers(ByteBuffer in) {
+    private static int[] readNumbers(ByteBuffer in) {
         List<Integer> numbers = new ArrayList<>();
         for (int i = in.get(); i > 0; i--) {
             numbers.add((int) in.getShort());
--- a/src/main/java/slateseam/tier/policy/Shares.java
+++ b/src/main/java/slateseam/tier/policy/Shares.java
@@ -6,17 +6,20 @@
 import java.util.Map;
 import slateseam.tier.policy.PolicyPort.Tally;
 
-/** What is served of what is asked, a second: here, and with all that tell this router. */
+/** Requests per second that arrived and were served, at this router and at all routers that report to it. */
 final class Shares {
     private static final long SECOND = 1_000_000_000L;
-    private static final long FRESH_NANOS = 3 * SECOND / 2;
-    private static final int KEPT = 5;
-    /** Fewer say nothing. */
-    static final int LEAST_ASKED = 40;
+    /** Time for which the sums that another router reported are used. */
+    private static final long MAX_REPORT_AGE_NANOS = 3 * SECOND / 2;
+    /** Number of past seconds whose sums are kept. */
+    private static final int KEPT_SECONDS = 5;
+    /** Minimum number of requests for a meaningful share. */
+    static final int MIN_REQUESTS = 40;
 
-    private record Told(PolicyMessage.Poll poll, long at) {}
+    /** The last report of another router. */
+    private record Report(PolicyMessage.Poll poll, long at) {}
 
-    /** Sums of a time. */
+    /** Sums of requests over a time. */
     static final class Sum {
         final long[] asked = new long[PolicyMessage.CLASSES];
         final long[] served = new long[PolicyMessage.CLASSES];
@@ -30,69 +33,72 @@
             refused += other.refused;
         }
 
-        /** The served share of each class and the refused share of all, in 255ths; 255 served and 0 refused where too few asked. */
+        /**
+         * Returns the served share of each class and, last, the refused share of all requests, in 255ths. With too
+         * few requests, a served share is 255 and the refused share is 0.
+         */
         byte[] shares() {
             byte[] shares = new byte[PolicyMessage.CLASSES + 1];
             long all = 0;
             for (int i = 0; i < PolicyMessage.CLASSES; i++) {
                 all += asked[i];
-                shares[i] = (byte) (asked[i] < LEAST_ASKED ? 255 : Math.min(255, 255 * served[i] / asked[i]));
+                shares[i] = (byte) (asked[i] < MIN_REQUESTS ? 255 : Math.min(255, 255 * served[i] / asked[i]));
             }
-            shares[PolicyMessage.CLASSES] = (byte) (all < LEAST_ASKED ? 0 : Math.min(255, 255 * refused / all));
+            shares[PolicyMessage.CLASSES] = (byte) (all < MIN_REQUESTS ? 0 : Math.min(255, 255 * refused / all));
             return shares;
         }
     }
 
-    private final Map<Integer, Told> children = new HashMap<>();
-    private final Deque<Sum> last = new ArrayDeque<>();
-    private Tally before;
+    private final Map<Integer, Report> children = new HashMap<>();
+    private final Deque<Sum> recentSums = new ArrayDeque<>();
+    private Tally previous;
     private Sum own = new Sum();
     private long nextAt;
 
-    /** What another tells of itself and of those that tell it. */
-    void told(PolicyMessage.Poll poll, long now) {
-        children.put(poll.from(), new Told(poll, now));
+    /** Records another router's report on itself and on the routers that report to it. */
+    void report(PolicyMessage.Poll poll, long now) {
+        children.put(poll.from(), new Report(poll, now));
     }
 
-    /** Whether a second is over; then the sums are those of the last. */
+    /** Returns whether a one-second interval has ended, in which case the sums of that second are updated. */
     boolean tick(Tally tally, long now) {
         if (now < nextAt) {
             return false;
         }
         nextAt = now + SECOND;
         own = new Sum();
-        for (int i = 0; before != null && i < Math.min(PolicyMessage.CLASSES, tally.asked().length); i++) {
-            own.asked[i] = tally.asked()[i] - (i < before.asked().length ? before.asked()[i] : 0);
-            own.served[i] = tally.served()[i] - (i < before.served().length ? before.served()[i] : 0);
+        for (int i = 0; previous != null && i < Math.min(PolicyMessage.CLASSES, tally.asked().length); i++) {
+            own.asked[i] = tally.asked()[i] - (i < previous.asked().length ? previous.asked()[i] : 0);
+            own.served[i] = tally.served()[i] - (i < previous.served().length ? previous.served()[i] : 0);
         }
-        own.refused = before == null ? 0 : tally.refused() - before.refused();
-        before = tally;
-        last.add(sum(now));
-        if (last.size() > KEPT) {
-            last.poll();
+        own.refused = previous == null ? 0 : tally.refused() - previous.refused();
+        previous = tally;
+        recentSums.add(sum(now));
+        if (recentSums.size() > KEPT_SECONDS) {
+            recentSums.poll();
         }
         return true;
     }
 
-    /** Here and below. */
+    /** Returns the last second's sum of this router and of all routers that report to it. */
     Sum sum(long now) {
-        children.values().removeIf(told -> now - told.at > FRESH_NANOS);
+        children.values().removeIf(report -> now - report.at > MAX_REPORT_AGE_NANOS);
         Sum sum = new Sum();
         sum.add(own);
-        for (Told told : children.values()) {
+        for (Report report : children.values()) {
             for (int i = 0; i < PolicyMessage.CLASSES; i++) {
-                sum.asked[i] += told.poll.asked()[i];
-                sum.served[i] += told.poll.served()[i];
+                sum.asked[i] += report.poll.asked()[i];
+                sum.served[i] += report.poll.served()[i];
             }
-            sum.refused += told.poll.refused();
+            sum.refused += report.poll.refused();
         }
         return sum;
     }
 
-    /** Of the last seconds together. */
+    /** Returns the sum over the last seconds. */
     Sum recent() {
         Sum sum = new Sum();
-        last.forEach(sum::add);
+        recentSums.forEach(sum::add);
         return sum;
     }
 }
--- a/src/main/java/slateseam/tier/policy/Tree.java
+++ b/src/main/java/slateseam/tier/policy/Tree.java
@@ -7,20 +7,26 @@
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
 
-/** Whom a router asks: voters the leader, four others each one above them; anybody, while that one does not answer. */
+/**
+ * The tree along which routers poll one another. Voters poll the leader. Routers that do not vote are ranked by their
+ * number; the first ones poll the voters and the others poll routers of lower rank, so that each router is polled by
+ * at most four of them. If its parent does not answer, a router polls a random other one.
+ */
 final class Tree {
+    /** Number of non-voting routers that poll the same router. */
     private static final int BRANCHES = 4;
-    private static final int UNANSWERED = 3;
+    /** Number of polls without a reply after which a router polls a random other router. */
+    private static final int MAX_UNANSWERED_POLLS = 3;
 
     private final PolicySettings settings;
     private final RandomGenerator random;
     private Set<Integer> alive = Set.of();
-    /** The same in order. */
+    /** The routers in {@link #alive}, in ascending order. */
     private List<Integer> ordered = List.of();
-    /** Those of them that learn, in order, while {@link #learnersWithout} vote. */
+    /** The routers of {@link #ordered} that neither vote nor are to vote, while {@link #learnersVoting} vote. */
     private List<Integer> learners = List.of();
 
-    private Set<Integer> learnersWithout;
+    private Set<Integer> learnersVoting;
     private int unanswered;
 
     Tree(PolicySettings settings, RandomGenerator random) {
@@ -28,32 +34,37 @@
         this.random = random;
     }
 
-    void alive(Set<Integer> routers) {
+    void setAlive(Set<Integer> routers) {
         if (routers != alive && !routers.equals(alive)) {
             ordered = routers.stream().sorted().toList();
-            learnersWithout = null;
+            learnersVoting = null;
         }
         alive = routers;
     }
 
-    void asked() {
+    /** Records that a poll was sent. */
+    void pollSent() {
         unanswered++;
     }
 
-    void answered() {
+    /** Records that a reply was received. */
+    void replyReceived() {
         unanswered = 0;
     }
 
-    /** While there is no group: one that has not said so yet, or anybody; -1 for nobody. */
-    int next(Set<Integer> answered) {
+    /**
+     * Returns the router to poll while no group is known: a random one that has not answered yet, or else any other;
+     * -1 for none.
+     */
+    int nextWithoutGroup(Set<Integer> answered) {
         List<Integer> open = new ArrayList<>(ordered);
         open.removeIf(router -> router == settings.me() || answered.contains(router));
         return open.isEmpty() ? parent(-1, Set.of()) : open.get(random.nextInt(open.size()));
     }
 
     private List<Integer> learners(Set<Integer> voting) {
-        if (!voting.equals(learnersWithout)) {
-            learnersWithout = Set.copyOf(voting);
+        if (!voting.equals(learnersVoting)) {
+            learnersVoting = Set.copyOf(voting);
             learners = ordered.stream()
                     .filter(router ->
                             !voting.contains(router) && !settings.voters().contains(router))
@@ -62,10 +73,10 @@
         return learners;
     }
 
-    /** The one to ask now; -1 for nobody. */
+    /** Returns the router to poll now; -1 for none. */
     int parent(int leader, Set<Integer> voting) {
         int me = settings.me();
-        if (unanswered < UNANSWERED) {
+        if (unanswered < MAX_UNANSWERED_POLLS) {
             if (leader >= 0
                     && leader != me
                     && (voting.contains(me) || settings.voters().contains(me))) {
--- a/src/main/java/slateseam/tier/policy/Versions.java
+++ b/src/main/java/slateseam/tier/policy/Versions.java
@@ -8,18 +8,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** All versions, as the log has decided on them: the same at all that have applied as much of it. */
+/**
+ * The versions and rejected proposals: the state machine of the replicated log. Its state is the same at all routers
+ * that have applied the same number of commands.
+ */
 public final class Versions {
-    /** As many are kept. */
-    public static final int MOST = 200;
+    /** Maximum number of versions that are kept. */
+    public static final int MAX_VERSIONS = 200;
+
+    /** Maximum number of rejected proposals that are kept. */
+    private static final int MAX_REJECTED = 40;
 
-    private static final int MOST_REJECTED = 40;
     private static final byte FORMAT = 1;
 
-    /** A proposal that was turned down, and why. */
+    /** A rejected proposal: the hash of its document and the cause. */
     private record Rejected(byte[] hash, String cause) {}
 
-    /** How many commands were applied: whoever has more knows more. */
+    /** Number of commands applied; a state with a higher revision is newer. */
     private long revision;
 
     private final List<Version> all = new ArrayList<>();
@@ -29,17 +34,17 @@
         return revision;
     }
 
-    /** All that are kept, oldest first. */
+    /** Returns all versions that are kept, oldest first. */
     public List<Version> all() {
         return List.copyOf(all);
     }
 
-    /** By its number; null if it is not kept. */
+    /** Returns a version by its number; null if it is not kept. */
     public Version find(int number) {
         return all.stream().filter(one -> one.number() == number).findFirst().orElse(null);
     }
 
-    /** The last proposed by a name; null if there is none. */
+    /** Returns the last version that was proposed by a name; null if there is none. */
     public Version find(String name) {
         for (int i = all.size() - 1; i >= 0; i--) {
             if (all.get(i).name().equals(name)) {
@@ -49,39 +54,41 @@
         return null;
     }
 
-    /** Why a proposal was turned down; null if it was not. */
+    /** Returns why a proposal was rejected; null if it was not. */
     public String rejected(String name, byte[] hash) {
         Rejected one = rejected.get(name);
         return one == null || !Arrays.equals(one.hash, hash) ? null : one.cause;
     }
 
-    /** The one that is not decided on; null if there is none. */
+    /** Returns the version that is proposed and not decided on yet; null if there is none. */
     public Version open() {
         Version last = all.isEmpty() ? null : all.get(all.size() - 1);
         return last != null && last.state() == Version.State.PROPOSED ? last : null;
     }
 
-    /** The newest that was committed; null if none ever was. */
+    /** Returns the newest version that was committed; null if there is none. */
     public Version newest() {
         for (int i = all.size() - 1; i >= 0; i--) {
-            if (all.get(i).isDecidedFor()) {
+            if (all.get(i).wasCommitted()) {
                 return all.get(i);
             }
         }
         return null;
     }
 
-    /** The one committed before; null if none was. */
+    /** Returns the last committed version before the given one; null if there is none. */
     Version before(Version version) {
         for (int i = all.size() - 1; i >= 0; i--) {
-            if (all.get(i).isDecidedFor() && all.get(i).number() < version.number()) {
+            if (all.get(i).wasCommitted() && all.get(i).number() < version.number()) {
                 return all.get(i);
             }
         }
         return null;
     }
 
-    /** Applies a command; whoever applies the same in the same order has the same. */
+    /**
+     * Applies a command of the log. This is deterministic: the same commands in the same order give the same state.
+     */
     void apply(byte[] bytes) {
         Command command = Command.decode(bytes);
         revision++;
@@ -100,16 +107,16 @@
     }
 
     private void propose(Version version) {
-        Version same = find(version.name());
-        if (same != null && same.isLike(version.name(), version.hash())) {
-            return; // the same proposal again
+        Version existing = find(version.name());
+        if (existing != null && existing.matches(version.name(), version.hash())) {
+            return; // a repetition of the same proposal
         }
         Version open = open();
-        if (same != null) {
+        if (existing != null) {
             reject(
                     version.name(),
                     version.hash(),
-                    "version " + same.number() + " was proposed by that name with another content");
+                    "version " + existing.number() + " was proposed by that name with another content");
         } else if (open != null) {
             reject(
                     version.name(),
@@ -117,16 +124,19 @@
                     "beaten by " + open.name() + ", proposed at router " + open.proposer());
         } else {
             rejected.remove(version.name());
-            all.add(version.numbered(all.isEmpty() ? 1 : all.get(all.size() - 1).number() + 1));
-            // Guards against forgetting what holds, or held before: only what never did, or is older, goes.
-            while (all.size() > MOST) {
+            all.add(version.withNumber(
+                    all.isEmpty() ? 1 : all.get(all.size() - 1).number() + 1));
+            // Drops the oldest versions, so that the version in effect and the one before it are not forgotten.
+            while (all.size() > MAX_VERSIONS) {
                 all.remove(0);
             }
         }
     }
 
     private void decide(Version open, Command.Decide c) {
-        all.set(all.size() - 1, c.committed() ? open.committed(c.before()) : open.as(Version.State.ABORTED, c.cause()));
+        all.set(
+                all.size() - 1,
+                c.committed() ? open.committed(c.before()) : open.withState(Version.State.ABORTED, c.cause()));
         if (c.committed() && open.undoes() != 0) {
             replace(
                     open.undoes(),
@@ -139,19 +149,19 @@
     private void replace(int number, Version.State from, Version.State to, String cause) {
         for (int i = 0; i < all.size(); i++) {
             if (all.get(i).number() == number && (from == null || all.get(i).state() == from)) {
-                all.set(i, all.get(i).as(to, cause == null ? all.get(i).cause() : cause));
+                all.set(i, all.get(i).withState(to, cause == null ? all.get(i).cause() : cause));
             }
         }
     }
 
     private void reject(String name, byte[] hash, String cause) {
         rejected.put(name, new Rejected(hash, cause));
-        if (rejected.size() > MOST_REJECTED) {
+        if (rejected.size() > MAX_REJECTED) {
             rejected.remove(rejected.keySet().iterator().next());
         }
     }
 
-    /** All of it, to go on elsewhere. */
+    /** Encodes the whole state, for snapshots and for other routers. */
     byte[] encode() {
         ByteBuffer out = ByteBuffer.allocate(16 + all.size() * 256 + rejected.size() * 160);
         out.put(FORMAT).putLong(revision).putShort((short) all.size());
@@ -160,12 +170,12 @@
         rejected.forEach((name, one) -> {
             Version.put(out, name, Version.MOST_NAME);
             out.put(one.hash);
-            Version.put(out, one.cause, Version.MOST_CAUSE);
+            Version.put(out, one.cause, Version.MAX_CAUSE_BYTES);
         });
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    /** The state of these bytes; null if they are none. */
+    /** Decodes a state, where no bytes give the empty state; returns null if the bytes are invalid. */
     static Versions decode(byte[] bytes) {
         Versions versions = new Versions();
         if (bytes.length == 0) {
--- a/src/test/java/slateseam/tier/policy/LargeTierPolicyTest.java
+++ b/src/test/java/slateseam/tier/policy/LargeTierPolicyTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import slateseam.tier.policy.PolicyPort.Tally;
 
-/** What routers tell one another of a change, at the number of routers and requests to plan for (docs/CAPACITY.md). */
+/** Poll contents at the number of routers and the request rates that the tier is planned for (docs/CAPACITY.md). */
 final class LargeTierPolicyTest {
     private static final int ROUTERS = 2_000;
     private static final int VERSION = 1;
@@ -22,46 +22,51 @@
     @ParameterizedTest
     @ValueSource(ints = {5, 400, 1_024})
     void thatAllRoutersTakeAVersionIsTold(int routers) {
-        assertThat(isTold(routers)).isTrue();
+        assertThat(allAreReported(routers)).isTrue();
     }
 
     /**
-     * What happened: no change that all must take was committed beyond 1,024 routers; the coordinator gave up after its patience with "did
-     * not answer in time". Why: who has accepted was told as a bit for each router in at most 128 bytes, and further ones were cut off.
-     * What showed it: 2,000 accepted, 1,024 of them were in what the message told.
+     * Guards against cutting off the list of accepting routers. A bitmap of at most 128 bytes held only the first
+     * 1,024 of 2,000 accepting routers, so that beyond 1,024 routers no version that all must accept was committed;
+     * the coordinator aborted each with "did not answer in time".
      */
     @Test
     void thatTwoThousandRoutersTakeAVersionIsTold() {
-        assertThat(isTold(ROUTERS)).isTrue();
+        assertThat(allAreReported(ROUTERS)).isTrue();
     }
 
-    /** Whoever has accepted is told within one message for each 1,024 routers and one more, and nobody else ever. */
+    /**
+     * All accepting routers are reported within one message for each 1,024 routers and one more, and no other router
+     * is ever reported.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1_024, 1_025, 2_000, 8_192})
     void anySetOfRoutersIsToldAndNobodyBeside(int routers) {
         Random random = new Random(routers);
-        for (double part : new double[] {0.01, 0.5, 0.99}) {
+        for (double density : new double[] {0.01, 0.5, 0.99}) {
             AcceptedRouters accepted = new AcceptedRouters();
             Set<Integer> all = new HashSet<>(Set.of(routers - 1));
             IntStream.range(0, routers)
-                    .filter(router -> random.nextDouble() < part)
+                    .filter(router -> random.nextDouble() < density)
                     .forEach(all::add);
             all.forEach(accepted::add);
-            AcceptedRouters told = new AcceptedRouters();
+            AcceptedRouters received = new AcceptedRouters();
             for (int message = 0; message < routers / 1_024 + 1; message++) {
                 byte[] bytes = poll(accepted.encode(), new int[PolicyMessage.CLASSES], new int[PolicyMessage.CLASSES])
                         .encode();
-                assertThat(bytes.length).isLessThanOrEqualTo(PolicyMessage.MOST_BYTES);
-                told.addAll(((PolicyMessage.Poll) PolicyMessage.decode(bytes)).accepted());
+                assertThat(bytes.length).isLessThanOrEqualTo(PolicyMessage.MAX_DATAGRAM_BYTES);
+                received.addAll(((PolicyMessage.Poll) PolicyMessage.decode(bytes)).accepted());
             }
             IntStream.range(0, routers)
-                    .forEach(router -> assertThat(told.contains(router))
+                    .forEach(router -> assertThat(received.contains(router))
                             .as("router %d", router)
                             .isEqualTo(all.contains(router)));
         }
     }
 
-    /** A build that knows bits alone must not read ranges as such: it would take routers for ones that have accepted. */
+    /**
+     * An earlier build that knows only bitmaps must not read ranges as a bitmap, which would give false acceptances.
+     */
     @Test
     void rangesAreOfAKindThatEarlierBuildsPassOver() {
         AcceptedRouters accepted = new AcceptedRouters();
@@ -72,18 +77,19 @@
         assertThat(poll(accepted.encode(), none, none).encode()[2]).isEqualTo((byte) PolicyMessage.POLL_WITH_RANGES);
     }
 
-    private static boolean isTold(int routers) {
+    private static boolean allAreReported(int routers) {
         Set<Integer> all = IntStream.range(0, routers).boxed().collect(Collectors.toSet());
-        Verdicts teller = new Verdicts();
-        teller.begin(VERSION);
-        all.forEach(teller::accept);
-        Verdicts told = new Verdicts();
-        told.begin(VERSION);
-        PolicyMessage.Poll poll = poll(teller.bytes(), new int[PolicyMessage.CLASSES], new int[PolicyMessage.CLASSES]);
+        Verdicts sender = new Verdicts();
+        sender.begin(VERSION);
+        all.forEach(sender::accept);
+        Verdicts received = new Verdicts();
+        received.begin(VERSION);
+        PolicyMessage.Poll poll =
+                poll(sender.encodeAccepted(), new int[PolicyMessage.CLASSES], new int[PolicyMessage.CLASSES]);
         if (PolicyMessage.decode(poll.encode()) instanceof PolicyMessage.Poll read) {
-            told.take(read);
+            received.addFrom(read);
         }
-        return told.hasAll(all);
+        return received.haveAllAccepted(all);
     }
 
     @Test
@@ -96,16 +102,18 @@
         assertThat(servedShare(65_000, 40_000)).isBetween(0.55, 0.68);
     }
 
-    /** What a router that asks nothing itself takes for the served share of the one below it. */
+    /**
+     * Returns the served share that a router without requests of its own computes from the report of another router.
+     */
     private static double servedShare(int asked, int served) {
-        PolicyMessage.Poll poll = poll(new byte[0], filled(asked), filled(served));
+        PolicyMessage.Poll poll = poll(new byte[0], filledWith(asked), filledWith(served));
         Shares shares = new Shares();
         shares.tick(new Tally(new long[PolicyMessage.CLASSES], new long[PolicyMessage.CLASSES], 0), SECOND);
-        shares.told((PolicyMessage.Poll) PolicyMessage.decode(poll.encode()), SECOND);
+        shares.report((PolicyMessage.Poll) PolicyMessage.decode(poll.encode()), SECOND);
         return (shares.sum(SECOND).shares()[0] & 0xff) / 255.0;
     }
 
-    private static int[] filled(int number) {
+    private static int[] filledWith(int number) {
         int[] numbers = new int[PolicyMessage.CLASSES];
         Arrays.fill(numbers, number);
         return numbers;
