--- a/src/main/java/slateseam/router/Memory.java
+++ b/src/main/java/slateseam/router/Memory.java
@@ -13,22 +13,30 @@
 import slateseam.router.snapshot.SnapshotSettings;
 import slateseam.router.snapshot.Snapshots;
 
-/** What a router keeps of the farm over its restarts; there is none where no folder for it is named. */
+/**
+ * Stores the list of the farm in snapshots, so that a restarted router knows the farm before its source answers.
+ * Exists only if the settings name a folder for snapshots.
+ */
 final class Memory {
+    /** The maximum time to wait for a pending write when the router stops. */
     private static final long MOST_CLOSE_MILLIS = 300;
 
     private final Loop loop;
     private final Features.Snapshot settings;
     private final String router;
     private final Farm farm;
-    /** Null where discovery tells the farm. */
+    /** Null if discovery reports the farm. */
     private final KubernetesFarm kubernetes;
-    /** Null while another one is opened. */
+    /** Null while snapshots of a new source are being opened. */
     private Snapshots snapshots;
 
     private boolean offers;
 
-    /** Opens the snapshots of a router; the source is what the farm is told by. */
+    /**
+     * Opens the snapshots of a router.
+     *
+     * @param source identifies what reports the farm; a snapshot of another source is not used
+     */
     Memory(Loop loop, Features.Snapshot settings, String router, String source, Farm farm, KubernetesFarm kubernetes) {
         this.loop = loop;
         this.settings = settings;
@@ -51,9 +59,10 @@
     }
 
     /**
-     * The farm as it was kept; null if there is nothing that can be used.
+     * Restores the farm from the snapshot.
      *
-     * @param other the version of discovery's list that the configuration brought; an older one is of no use
+     * @param other the version of the discovery list in the configuration; a snapshot that is not newer is not used
+     * @return the members of the farm; null if there is no usable snapshot
      */
     MembersChanged known(long other) throws MalformedException {
         Found found = snapshots.read(loop.now());
@@ -71,7 +80,7 @@
         return null;
     }
 
-    /** The farm has changed: keeps it, before long. */
+    /** Schedules a snapshot after the farm has changed; changes within one interval share a snapshot. */
     void changed() {
         if (!offers) {
             offers = true;
@@ -91,7 +100,8 @@
     }
 
     /**
-     * Guards against a snapshot that tells of one API and is read as another's, whose versions count for themselves.
+     * Reopens the snapshots for another source. Each Kubernetes API counts its own versions, so a snapshot of one API
+     * must not be read as a snapshot of another.
      */
     void moved(String source, Executor aside) {
         Snapshots before = snapshots;
@@ -106,7 +116,7 @@
         });
     }
 
-    /** Writes what is still to be written, for at most 0.3 s. */
+    /** Writes a pending snapshot, and waits for at most 0.3 s until it is written. */
     void close() {
         if (offers) {
             offer();
--- a/src/main/java/slateseam/router/Part.java
+++ b/src/main/java/slateseam/router/Part.java
@@ -9,40 +9,45 @@
 import slateseam.router.request.RequestObserver;
 
 /**
- * A part of a router that its settings can leave out. The router calls all that are there alike, in the order in which {@link Parts}
- * names them, and knows none of them; what a part does not need stays as it is here.
+ * An optional part of a router, which the settings can turn off. The router calls the same methods of all parts, in
+ * the order in which {@link Parts} adds them, and does not know their types. A part overrides only the methods that
+ * it needs.
  */
 interface Part {
-    /** All parts are there: it begins. */
+    /** Starts the part, after all parts have been created. */
     default void begin() throws IOException {}
 
-    /** Datagrams between routers come and go by these; null once another process speaks for this router. */
+    /**
+     * Sets what sends and receives datagrams between routers.
+     *
+     * @param peers null once another process of this router has taken over the messages
+     */
     default void talk(Peers peers) {}
 
-    /** New settings are in force. */
+    /** Called when new settings have been put into force. */
     default void retune(NodeConfig changed) {}
 
-    /** A planned end has begun: whoever calls is turned away. */
+    /** Closes the listeners of the part during a planned shutdown; new connections are refused. */
     default void close() throws IOException {}
 
-    /** The last that is heard of this router. */
+    /** Called once, just before the router stops. */
     default void stop() {}
 
-    /** Adds what it counts to the figures. */
+    /** Adds the counts and gauges of the part to the metrics. */
     default void count(Counts counts) {}
 
-    /** Adds what is asked of it at the second address. */
+    /** Registers the operator calls of the part at the control address. */
     default void answer(Control calls) {}
 
-    /** Operators have asked the process to show what it holds. */
+    /** Shows the present state of the part, on request of the operators. */
     default void show() {}
 
-    /** Who is told of requests that end; null for nobody. */
+    /** Returns the observer of requests that end; null for none. */
     default RequestObserver observer() {
         return null;
     }
 
-    /** Where it listens; null if nowhere. */
+    /** Returns the address at which the part listens; null if it does not listen. */
     default InetSocketAddress address() throws IOException {
         return null;
     }
--- a/src/main/java/slateseam/router/Parts.java
+++ b/src/main/java/slateseam/router/Parts.java
@@ -34,9 +34,16 @@
 import slateseam.router.useragent.RespFront;
 import slateseam.tier.policy.PolicyPort;
 
-/** The parts of one router that its settings turn on, in the order in which they are told of things. */
+/** The optional parts of one router that its settings turn on, in the order in which they are called. */
 final class Parts {
-    /** What a part may use of the router that it belongs to; names and console are null where no feature is on. */
+    /**
+     * What a part may use of its router.
+     *
+     * @param names null if no feature is on
+     * @param console null if no feature is on
+     * @param several whether another process of this router may run at the same time
+     * @param adopt puts settings into force
+     */
     record Base(
             NodeConfig config,
             Features features,
@@ -53,16 +60,16 @@
             Consumer<NodeConfig> adopt) {}
 
     private final List<Part> all = new ArrayList<>();
-    /** Null where nobody calls. */
+    /** Null if the configuration has no control address. */
     private final Control control;
-    /** Null where it is off. */
+    /** Null if the shared policy is off. */
     private final SharedPolicy policy;
 
     /**
-     * Puts them together; none does anything yet but to listen.
+     * Creates the parts. Some open their listeners, but no part starts before {@link #begin}.
      *
-     * @param told what tells this router the farm
-     * @param upgrade null where no other process of this router ever runs
+     * @param told the source of the farm of this router
+     * @param upgrade null if no other process of this router ever runs
      */
     Parts(Base base, ToldFarm told, Upgrade upgrade) throws IOException {
         Features features = base.features();
@@ -101,7 +108,9 @@
         }
     }
 
-    /** Descriptors that they hold at the most, beside connections that count as user agents'. */
+    /**
+     * Returns the maximum number of descriptors that the parts hold, besides connections that count as user agents'.
+     */
     static int descriptors(NodeConfig config, Features features, Handover handover) {
         return features.descriptors()
                 + (config.control() == null ? 0 : Control.DESCRIPTORS)
@@ -139,7 +148,7 @@
 
             @Override
             public void retune(NodeConfig changed) {
-                figures.flushWhole(); // what was counted so far stands under the names that it came with
+                figures.flushWhole(); // counts up to now belong to the old names
             }
 
             @Override
@@ -199,8 +208,9 @@
         return new Part() {
             @Override
             public void talk(Peers peers) {
-                tier.talk(
-                        peers); // null: the other process speaks for this router, as it is one member, in its next life
+                // Null once another process has taken over: that process is the same member, with a newer
+                // incarnation.
+                tier.talk(peers);
             }
 
             @Override
@@ -248,7 +258,10 @@
         return fault == null ? Reply.yes("it is asked for") : Reply.no(fault);
     }
 
-    /** What the router is to run by where its own file is this: with the tier's policy laid over it. */
+    /**
+     * Returns the effective configuration: the given configuration of this router, overlaid with the policy of the
+     * tier.
+     */
     NodeConfig over(NodeConfig own) throws InvalidConfigException {
         return policy == null ? own : policy.over(own);
     }
@@ -308,51 +321,53 @@
         return counts;
     }
 
-    /** All begin. */
+    /** Starts all parts. */
     void begin() throws IOException {
         for (Part part : all) {
             part.begin();
         }
     }
 
-    /** Datagrams come and go by these; null once another process speaks for this router. */
+    /**
+     * Sets what sends and receives datagrams; null once another process of this router has taken over the messages.
+     */
     void talk(Peers peers) {
         all.forEach(part -> part.talk(peers));
     }
 
-    /** New settings are in force. */
+    /** Notifies the parts that new settings have been put into force. */
     void retune(NodeConfig changed) {
         all.forEach(part -> part.retune(changed));
     }
 
-    /** A planned end has begun. */
+    /** Closes the listeners of the parts during a planned shutdown. */
     void close() throws IOException {
         for (Part part : all) {
             part.close();
         }
     }
 
-    /** The last that is heard of this router. */
+    /** Stops all parts, just before the router stops. */
     void stop() {
         all.forEach(Part::stop);
     }
 
-    /** Operators have asked the process to show what it holds. */
+    /** Shows the present state of the parts, on request of the operators. */
     void show() {
         all.forEach(Part::show);
     }
 
-    /** Who is told of requests that end. */
+    /** Returns the observers of requests that end. */
     List<RequestObserver> observers() {
         return all.stream().map(Part::observer).filter(Objects::nonNull).toList();
     }
 
-    /** Where those call who operate it, if anybody does. */
+    /** Returns the control address; may be called only if the configuration has one. */
     InetSocketAddress controlAddress() throws IOException {
         return control.address();
     }
 
-    /** Where the part listens that does so beside the program's own listeners. */
+    /** Returns the address of the first part that has a listener of its own; null if there is none. */
     InetSocketAddress address() throws IOException {
         for (Part part : all) {
             if (part.address() != null) {
--- a/src/main/java/slateseam/router/Router.java
+++ b/src/main/java/slateseam/router/Router.java
@@ -36,21 +36,29 @@
 import slateseam.router.useragent.Requests;
 import slateseam.router.useragent.RespFront;
 
-/** One router: puts the stages together and ends them in order. */
+/** One router: creates and connects its stages, and shuts them down in order. */
 public final class Router {
-    /** Descriptors of the virtual machine, the selector, discovery and peers. */
+    /** Descriptors reserved for the virtual machine, the selector, discovery and peers. */
     private static final int OTHER_SOCKETS = 48;
-    /** User agents hold at most this part of the descriptors for their requests. */
+    /** The requests of user agents may hold at most one in this many descriptors. */
     private static final int HELD_PART = 3;
-    /** New connections come for up to 0.4 s after a planned end is announced. */
+    /**
+     * Time from the start of a planned shutdown until listeners close: new connections still arrive for up to 0.4 s.
+     */
     private static final long LINGER_NANOS = 550_000_000L;
-    /** It is killed no sooner than after the longest deadline, counted as this where it is longer, and what it may still take. */
+    /**
+     * Upper bound of the longest deadline that a planned shutdown waits for. The process is killed no sooner than
+     * after the longest deadline, or this bound if it is shorter, plus the time in which requests may still arrive.
+     */
     private static final long LONGEST_NANOS = 3_000_000_000L;
-    /** Requests that come so long after a planned end began may be its own; somewhat less, as answers need their time. */
+    /**
+     * Time after the start of a planned shutdown in which requests may still arrive at this process; slightly shorter
+     * than the actual time, because answers take time to be sent.
+     */
     private static final long TAKEN_NANOS = 600_000_000L;
-    /** Connections that take no more commands have so long to end. */
+    /** Time that connections have to close once they accept no more commands. */
     private static final long ENDING_NANOS = 1_100_000_000L;
-    /** One that is to take over waits so long for discovery before it takes user agents. */
+    /** Time that a process that is to take over waits for discovery before it accepts user agents. */
     private static final long FARM_NANOS = 2_000_000_000L;
 
     private final Loop loop;
@@ -58,19 +66,19 @@
     private final RespFront front;
     private final Lifecycle lifecycle = new Lifecycle();
     private final ServiceCounts served = new ServiceCounts();
-    /** The program's own listener first, then those of features; none while it does not take user agents yet. */
+    /** The listener for single commands first, then those of features; empty until the ports are reserved. */
     private final List<Acceptor> acceptors = new ArrayList<>();
 
     private final NodeConfig config;
-    /** The file in use: the last that was taken. */
+    /** The configuration file in use: the last one that was accepted. */
     private NodeConfig used;
 
     private final Versions versions;
     private final Core core;
     private final Passes passes;
-    /** Of descriptors, for user agents and servers together. */
+    /** The number of descriptors for the connections of user agents and servers together. */
     private final int shared;
-    /** Null where no other process of this router ever runs. */
+    /** Null if no other process of this router ever runs. */
     private final Upgrade upgrade;
 
     private Peers peers;
@@ -79,20 +87,20 @@
     private final Parts parts;
 
     /**
-     * Where a router runs.
+     * The environment in which a router runs.
      *
-     * @param network opens its channels
-     * @param heapBytes the heap of which the bounds of what it holds are parts
-     * @param aside does what would hold up the loop; null where no feature needs that
-     * @param handover to another process that may take over, or is there already; null where none ever is
+     * @param network opens the channels of the router
+     * @param heapBytes the size of the heap; the memory bounds of the router are fractions of it
+     * @param aside runs blocking tasks outside the loop; null if no feature needs it
+     * @param handover coordinates with another process of the same router; null if there never is another process
      */
     public record Place(SelectorProvider network, long heapBytes, Executor aside, Handover handover) {
-        /** On the system's network, in this process. */
+        /** Returns an environment on the network of the system. */
         public static Place system(Features features, Handover handover) {
             return on(SelectorProvider.provider(), features, handover);
         }
 
-        /** On a network, in this process, without another process of the same router. */
+        /** Returns an environment on the given network, without another process of the same router. */
         public static Place on(SelectorProvider network, Features features) {
             return on(network, features, null);
         }
@@ -179,7 +187,7 @@
             core.happened(told.known());
             known |= told.wasHanded();
         } catch (MalformedException e) {
-            log.line("farm-malformed", "the known list was dropped: " + e.getMessage());
+            log.line("farm-malformed", "the list of the farm known at startup was dropped: " + e.getMessage());
         }
         Requests requests = new Requests(core, versions, config.mostHeld());
         listeners.add(new Listener(config.listen(), front.gate(new Commands(requests, lifecycle)), several));
@@ -190,7 +198,7 @@
                     lifecycle,
                     features.multiGet().mostKeys(),
                     limits.maxRetryAfterNanos(),
-                    loop.heapBytes() / 10); // somewhat less than may wait unread in the front
+                    loop.heapBytes() / 10); // slightly less than the bound on unread input in the front
             listeners.add(new Listener(
                     Features.beside(config.listen(), features.multiGet().port()), front.gate(dialect), several));
         }
@@ -199,7 +207,7 @@
         core.observe(served);
         parts.begin();
         if (!heir) {
-            reservePorts(); // what somebody else holds is named before anybody waits
+            reservePorts(); // a port that is in use is reported before the wait for the farm
         }
         if (!known) {
             loop.after(FARM_NANOS, this::listen);
@@ -214,12 +222,15 @@
 
     private record Listener(InetSocketAddress at, Acceptor.Gate gate, boolean several) {}
 
-    /** User agents keep more of them: a request of theirs takes one each, and so do those that only come to stay. */
+    /**
+     * Returns the user agents' share of descriptors: more than half, as each open request and idle connection takes
+     * one.
+     */
     private static int userAgents(int descriptors) {
         return descriptors * 3 / 5;
     }
 
-    /** Takes user agents from now on; before that nobody is told that it does. */
+    /** Starts to accept user agents; until then health checks report that this router does not accept them. */
     private void listenNow() throws IOException {
         reservePorts();
         for (Acceptor acceptor : acceptors) {
@@ -245,7 +256,7 @@
             }
         } catch (IOException e) {
             loop.log().line("socket-error", e.getMessage());
-            loop.stop(); // nobody has been told yes yet
+            loop.stop(); // no health check has succeeded yet
         }
     }
 
@@ -255,7 +266,7 @@
                 : new Peers(loop, config.peerListen(), config.peers(), config.peersAll(), core::happened);
     }
 
-    /** Takes the supply and the port for messages over; false while the other process still has the port. */
+    /** Takes over the supply and the message port; returns false while the other process still holds the port. */
     private boolean takeOver() {
         try {
             peers = openPeers();
@@ -268,7 +279,7 @@
         }
     }
 
-    /** Keeps to half of the descriptors while another process of this router has its own. */
+    /** Limits this process to half of the descriptors while another process of this router runs. */
     private void share(boolean halved) {
         int kept = halved ? (shared - OTHER_SOCKETS) / 2 : shared;
         int ofUserAgents = userAgents(kept);
@@ -276,37 +287,40 @@
         passes.bound(kept - ofUserAgents);
     }
 
-    /** Whether user agents are taken: not before the farm is known as it is now, or nobody says how it is. */
+    /**
+     * Returns whether this router has begun to accept user agents. It does so once the present state of the farm is
+     * known, or once waiting for that has failed.
+     */
     public boolean listens() {
         return lifecycle.state() != Lifecycle.State.STARTING;
     }
 
-    /** Where user agents connect. */
+    /** Returns the address to which user agents connect. */
     public InetSocketAddress address() throws IOException {
         return acceptors.get(0).address();
     }
 
-    /** Where those call who operate it, if anybody does. */
+    /** Returns the control address for operators; may be called only if the configuration has one. */
     public InetSocketAddress controlAddress() throws IOException {
         return parts.controlAddress();
     }
 
-    /** Where user agents connect for many values at once, if that is on. */
+    /** Returns the address for batches of reads; may be called only if that feature is on. */
     public InetSocketAddress multiGetAddress() throws IOException {
         return acceptors.get(1).address();
     }
 
-    /** Where watchers connect, if the tap is on. */
+    /** Returns the address of the tap; null if no part listens. */
     public InetSocketAddress tapAddress() throws IOException {
         return parts.address();
     }
 
-    /** The loop that everything lives on. */
+    /** Returns the event loop on which all stages of this router run. */
     public Loop loop() {
         return loop;
     }
 
-    /** Serves until it has ended in order. */
+    /** Serves requests until the router has stopped. */
     public void run() throws IOException {
         if (lifecycle.takesUserAgents()) {
             loop.log().line("serving", "at " + address());
@@ -315,9 +329,9 @@
     }
 
     /**
-     * Reads the configuration and the settings file again; may be called from any thread. Of what has changed, the
-     * address of discovery or of Kubernetes' API, and what it takes to talk to that, is taken over; a file that cannot
-     * be used changes nothing.
+     * Reads the configuration and the settings file again; may be called from any thread. Adopts classes, limits and
+     * rules, and the address and access data of discovery or of the Kubernetes API; other changes have no effect
+     * before a restart. A file that is not valid changes nothing.
      *
      * @param settings the settings file; null for none
      */
@@ -337,7 +351,7 @@
         });
     }
 
-    /** The same with a configuration that has been read. */
+    /** Reloads with a configuration that has already been read; may be called from any thread. */
     public void reload(NodeConfig changed) {
         loop.handOver(() -> {
             try {
@@ -349,7 +363,7 @@
         });
     }
 
-    /** Settings are in force, whoever brought them. */
+    /** Puts settings into force, whether they come from a file or from the policy of the tier. */
     private void adopt(NodeConfig changed) {
         core.retune(changed.settings());
         longestNanos = Math.max(longestNanos, changed.settings().longestAnswerNanos());
@@ -358,7 +372,12 @@
         served.name(versions.names());
     }
 
-    /** The router's own file has changed, and with it what it runs by, which may be more. */
+    /**
+     * Adopts a changed configuration file.
+     *
+     * @param changed the configuration file of this router
+     * @param by the effective configuration: the file, overlaid with the policy of the tier
+     */
     private void takeOver(NodeConfig changed, NodeConfig by, KubernetesSettings settings) {
         served.reloaded(true);
         used = changed;
@@ -374,14 +393,14 @@
                                                 .toList()));
     }
 
-    /** Shows the keys that are asked for most, if that is on; may be called from any thread. */
+    /** Shows the most requested keys, if that feature is on; may be called from any thread. */
     public void showHotList() {
         loop.handOver(parts::show);
     }
 
     /**
-     * Begins a planned end; may be called from any thread. New connections are taken for a while yet, then connections
-     * are closed between requests, and when the last has gone the loop ends.
+     * Begins a planned shutdown; may be called from any thread. New connections are accepted for a short time, then
+     * connections are closed between requests, and the loop stops when the last connection has closed.
      */
     public void end() {
         loop.handOver(() -> {
@@ -399,7 +418,7 @@
         });
     }
 
-    /** User agents come to the other process from now on, which has all that this one had. */
+    /** Hands over supply, message port and user agents to the other process of this router. */
     private void handOver() {
         try {
             if (peers != null) {
--- a/src/main/java/slateseam/router/ToldFarm.java
+++ b/src/main/java/slateseam/router/ToldFarm.java
@@ -17,32 +17,38 @@
 import slateseam.router.net.Loop;
 import slateseam.router.net.MalformedException;
 
-/** Who tells this router the farm, and what it remembers of that over its restarts. */
+/**
+ * The source of the farm of this router, discovery or Kubernetes, with what is stored of the farm across restarts.
+ */
 final class ToldFarm implements FarmSource {
-    /** So that waits between tries are not those of the decision module. */
+    /**
+     * Mixed into the seed, so that the random waits between tries differ from the random numbers of the decision
+     * module.
+     */
     private static final long SEED = 0x6b38735f66726d31L;
 
     private final NodeConfig config;
     private final Farm farm;
     private final Executor aside;
-    /** Null where Kubernetes tells the farm. */
+    /** Null if Kubernetes reports the farm. */
     private final Watch watch;
-    /** Null where discovery does. */
+    /** Null if discovery reports the farm. */
     private final KubernetesFarm kubernetes;
 
     private KubernetesSettings settings;
     private boolean wasHanded;
-    /** Null where no other process of this router ever runs. */
+    /** Null if no other process of this router ever runs. */
     private final Handover handover;
 
     private final Loop loop;
-    /** Null where nothing is remembered. */
+    /** Null if snapshots are off. */
     private final Memory memory;
 
     /**
-     * Creates the source that the settings choose; it does nothing yet.
+     * Creates the source that the settings select, without starting it.
      *
-     * @param aside does what would hold up the loop; null where nothing does
+     * @param aside runs blocking tasks outside the loop; null if no feature needs it
+     * @param listener is called with each change of the farm
      */
     ToldFarm(
             Loop loop,
@@ -74,7 +80,7 @@
                 : new Memory(loop, features.snapshot(), config.name(), source(), farm, kubernetes);
     }
 
-    /** What the farm is told by, so that what is remembered of another is not used. */
+    /** Returns an identifier of the source, so that a snapshot of another source is not used. */
     private String source() {
         return settings == null
                 ? "discovery"
@@ -82,7 +88,10 @@
                         + " " + settings.port();
     }
 
-    /** The farm as it was before the start: by the snapshot, or else as the configuration has it. */
+    /**
+     * Returns the farm known at startup: from the snapshot, else from the previous process, else from the
+     * configuration.
+     */
     MembersChanged known() throws MalformedException {
         MembersChanged kept =
                 memory == null ? null : memory.known(config.known().optLong("seq"));
@@ -99,8 +108,10 @@
     }
 
     /**
-     * Whether somebody will say at once how the farm is now; calls back when that was said, or when nobody did. Guards what was
-     * told while no process of this router was there: it counts as told from the first moment of this one.
+     * Calls back once discovery has first reported the farm, or has failed to. A change that was reported while no
+     * process of this router ran must be known to this process from its start.
+     *
+     * @return false if discovery is not asked at once; the action is not called then
      */
     boolean whenFirstTold(Runnable action) {
         if (watch == null || config.settings().askedDiscovery()) {
@@ -110,12 +121,14 @@
         return true;
     }
 
-    /** Whether the farm is as a process before had it last. */
+    /** Returns whether the farm known at startup came from the previous process of this router. */
     boolean wasHanded() {
         return wasHanded;
     }
 
-    /** What the process before was told, if that is newer than what the configuration brought. */
+    /**
+     * Returns the farm that the previous process knew, if newer than the list in the configuration; null otherwise.
+     */
     private MembersChanged handed() {
         String kept = handover.farm();
         try {
@@ -127,7 +140,7 @@
         }
     }
 
-    /** Whether Kubernetes tells the farm, and not discovery. */
+    /** Returns whether Kubernetes, and not discovery, reports the farm. */
     boolean followsKubernetes() {
         return kubernetes != null;
     }
@@ -140,7 +153,7 @@
             try {
                 handover.keepFarm(farm.list().toString());
             } catch (IOException e) {
-                loop.log().line("handover", "the farm could not be kept for a process that comes: " + e);
+                loop.log().line("handover", "the farm could not be stored for the next process of this router: " + e);
             }
         }
     }
@@ -155,9 +168,10 @@
     }
 
     /**
-     * Goes on elsewhere, as the files were changed.
+     * Moves to the address of the source in the changed files.
      *
-     * @return what tells the farm now, for the log
+     * @param changedSettings the changed settings of Kubernetes; null if they were removed
+     * @return a description of the present source, for the log
      */
     String moveTo(NodeConfig changed, KubernetesSettings changedSettings) {
         if (kubernetes == null) {
@@ -165,7 +179,7 @@
             return "discovery is at " + changed.discovery();
         }
         if (changedSettings == null) {
-            return "the API stays at " + settings.api() + ": to do without it takes a restart";
+            return "the API stays at " + settings.api() + ": a restart is needed to stop using it";
         }
         boolean elsewhere =
                 !changedSettings.api().authority().equals(settings.api().authority());
@@ -177,7 +191,7 @@
         return "the API is at " + settings.api();
     }
 
-    /** Writes what is still to be remembered. */
+    /** Writes a pending snapshot. */
     void close() {
         if (memory != null) {
             memory.close();
--- a/src/main/java/slateseam/router/Upgrade.java
+++ b/src/main/java/slateseam/router/Upgrade.java
@@ -9,11 +9,14 @@
 import slateseam.router.net.Clock;
 import slateseam.router.net.Loop;
 
-/** Looks for the other process of this router, and carries out what {@link Succession} settles. */
+/**
+ * Polls for another process of the same router during an upgrade, and carries out what {@link Succession} decides.
+ */
 final class Upgrade {
-    /** The heir's waiting requests wait for this; an otherwise idle router looks seldom. */
+    /** Polling interval during a takeover; short, because requests that wait at the new process wait for it. */
     private static final long HEIR_NANOS = 10 * Clock.MILLI;
 
+    /** Polling interval otherwise; long, so that an idle router rarely wakes up. */
     private static final long SERVING_NANOS = 200 * Clock.MILLI;
 
     private final Loop loop;
@@ -25,10 +28,10 @@
     private boolean shared;
 
     /**
-     * Creates it for a process that has looked who is there.
+     * Creates the upgrade logic of a process that has already checked for another process.
      *
-     * @param takeOver begins to use the supply and the port for messages; false if that must be tried again
-     * @param share keeps to a part of the descriptors, or goes back to all
+     * @param takeOver takes over the supply and the message port; returns false if it must be tried again
+     * @param share receives true to limit this process to a part of the descriptors, and false to lift that limit
      */
     Upgrade(Loop loop, Handover handover, BooleanSupplier takeOver, Consumer<Boolean> share) {
         this.loop = loop;
@@ -43,7 +46,7 @@
         return succession.role() == Role.HEIR;
     }
 
-    /** Begins to look. */
+    /** Starts polling. */
     void begin() {
         settle();
         if (succession.role() != Role.SOLE) {
@@ -70,7 +73,7 @@
                 loop.log().line("upgrade", "from " + before + " to " + succession.role());
             }
         } catch (IOException e) {
-            loop.log().line("upgrade", "the other process cannot be looked for: " + e);
+            loop.log().line("upgrade", "cannot check for another process of this router: " + e);
         }
         settle();
         boolean soon = !taken || succession.role() == Role.SUCCESSOR;
@@ -87,22 +90,29 @@
         }
     }
 
-    /** This process is told to end; whether there is one that takes over, to which it has to hand over when it can. */
+    /**
+     * Called when this process is told to end.
+     *
+     * @return whether another process takes over, to which this one must hand over
+     */
     boolean ends() {
         try {
             succession.heir(handover.heirIsThere());
         } catch (IOException e) {
-            loop.log().line("upgrade", "the other process cannot be looked for: " + e);
+            loop.log().line("upgrade", "cannot check for another process of this router: " + e);
         }
         return succession.ends();
     }
 
-    /** Hands over: nothing of what was handed over is used here any more. */
+    /** Hands over to the other process; from now on this process uses nothing that it has handed over. */
     void hand() {
         try {
             handover.hand();
         } catch (IOException e) {
-            loop.log().line("upgrade", "the other process takes over only when this one has ended: " + e);
+            loop.log()
+                    .line(
+                            "upgrade",
+                            "handover failed; the other process takes over only after this one has ended: " + e);
         }
     }
 }
--- a/src/main/java/slateseam/router/core/Core.java
+++ b/src/main/java/slateseam/router/core/Core.java
@@ -46,9 +46,12 @@
 import slateseam.router.request.RequestObserver;
 import slateseam.router.request.Versions;
 
-/** The requests that are owed an answer. Turns happenings into events and carries out actions; decides nothing. */
+/**
+ * Holds the requests that still await their final answer. Translates what happens in the router into events for the
+ * decision module and carries out the actions that the module returns; the core itself makes no decision.
+ */
 public final class Core implements PassListener, Intake {
-    /** A request that is owed its final answer. */
+    /** A request that awaits its final answer. */
     private final class Slot implements Runnable {
         final Request request;
         final Front front;
@@ -58,7 +61,7 @@
         long ticket;
         Deadline overdue;
         int attempts;
-        /** Whether its last attempt went to the origin. */
+        /** Whether the latest attempt of this request went to the origin. */
         boolean atOrigin;
 
         Slot(Request request, Front front, long exchange, long begunAt, long ttlNanos) {
@@ -69,10 +72,13 @@
             this.deadline = begunAt + ttlNanos;
         }
 
-        /** Guards the rule that every request gets its answer in time, should the module ever leave one out. */
+        /**
+         * Fails the request when its answer is overdue, so that a fault of the module cannot leave a request
+         * unanswered.
+         */
         @Override
         public void run() {
-            loop.log().line("overdue", "the module left a request without an answer");
+            loop.log().line("overdue", "the decision module left a request without an answer; the request fails");
             giveUp();
         }
 
@@ -97,34 +103,46 @@
     private final Versions versions;
     private final Brain brain;
     private final Slots<Slot> slots;
-    /** What has happened while an event is handled: an action may make something happen at once. */
+    /** Events that arose while another event was being handled: an action may cause a further event immediately. */
     private final Queue<Supplier<Event>> happenings = new ArrayDeque<>();
-    /** That answer the event being handled. */
+    /** The actions that the module returned for the event being handled. */
     private final List<Action> actions = new ArrayList<>();
 
     private final Consumer<Action> collect = actions::add;
     private final List<RequestObserver> observers = new ArrayList<>();
     private BooleanSupplier mayServe = () -> true;
     private boolean handling;
-    /** When this process may be killed: every answer is out before that. */
+    /**
+     * The time on the loop's clock, in nanoseconds, by which every answer must be sent; the process may be killed
+     * after it.
+     */
     private long answersBy = Long.MAX_VALUE;
-    /** Of values to be written, so that they cannot fill the heap. */
+    /** The maximum total size of the values of open writes, so that they cannot fill the heap. */
     private final long mostHeldBytes;
 
     private long heldBytes;
-    /** Long answers on their way to user agents. */
+    /** The number of streamed answers that are still being sent to user agents. */
     private int streams;
 
     private Passes passes;
     private Peers peers;
     private FarmSource source;
 
-    /** Creates the core of a router that holds at most so many requests. */
+    /**
+     * Creates the core of a router that exchanges supply with its ring neighbours only.
+     *
+     * @param mostHeld the maximum number of requests that are open at once
+     */
     public Core(Loop loop, Versions versions, long seed, int mostHeld) {
         this(loop, versions, seed, mostHeld, SupplyLinks.OFF);
     }
 
-    /** The same of one that exchanges supply beyond its ring neighbours. */
+    /**
+     * Creates the core of a router that may also exchange supply beyond its ring neighbours.
+     *
+     * @param mostHeld the maximum number of requests that are open at once
+     * @param links the routers with which supply is exchanged in addition to the ring neighbours
+     */
     public Core(Loop loop, Versions versions, long seed, int mostHeld, SupplyLinks links) {
         this.loop = loop;
         this.versions = versions;
@@ -133,7 +151,13 @@
         this.mostHeldBytes = loop.heapBytes() / 8;
     }
 
-    /** Begins, with those who carry actions out; {@code peers} is null where routers do not talk. */
+    /**
+     * Starts the decision module.
+     *
+     * @param passes carries out the attempts at servers
+     * @param peers sends messages to other routers; null if this router exchanges none
+     * @param source reports the members of the farm
+     */
     public void start(Passes passes, Peers peers, FarmSource source) {
         this.passes = passes;
         this.peers = peers;
@@ -141,46 +165,49 @@
         happened(new Started());
     }
 
-    /** Requests are turned away at once, with a time to come back, while this says no. */
+    /** Sets a check; while it returns false, each new request is refused at once with a retry-after time. */
     public void gate(BooleanSupplier may) {
         mayServe = may;
     }
 
     /**
-     * Every answer is out by then: what comes from now on has no more time than that, and what came before is given up then.
-     * Guards what a process that is told to end still takes: it is killed a while later.
+     * Sets the time by which every answer is sent. Requests that arrive from now on get a deadline no later than that
+     * time, and requests that are still open then fail. A process that has been told to end still accepts requests,
+     * and it is killed some time later; without this limit such requests would be left without an answer.
+     *
+     * @param at the time on the loop's clock, in nanoseconds
      */
     public void answerBy(long at) {
         answersBy = at;
         loop.after(at - loop.now(), () -> slots.all().forEach(Slot::giveUp));
     }
 
-    /** Tells an observer of each request that ends from now on. */
+    /** Adds an observer, which is notified of each request that ends from now on. */
     public void observe(RequestObserver observer) {
         observers.add(observer);
     }
 
-    /** Other settings are in force: what comes from now on comes with them. */
+    /** Puts new settings into force; requests that arrive from now on use them. */
     public void retune(Settings settings) {
         happened(new Retuned(versions.adopt(settings).settings()));
     }
 
-    /** Other routers are talked to by this from now on; null for not at all. */
+    /** Sets what sends messages to other routers from now on; null to send none. */
     public void talk(Peers by) {
         peers = by;
     }
 
-    /** How many requests were taken and have not ended. */
+    /** Returns the number of requests that were accepted and have not ended, including streamed answers. */
     public int open() {
         return slots.size() + streams;
     }
 
-    /** How many listed caches get nothing now. */
+    /** Returns the number of listed application servers to which no requests are sent at present. */
     public int avoided() {
         return brain.avoided();
     }
 
-    /** Something happened that concerns no request. */
+    /** Passes an event to the decision module, after the event that is being handled, if any. */
     public void happened(Event event) {
         if (handling) {
             happenings.add(() -> event);
@@ -250,7 +277,9 @@
         }
     }
 
-    /** Made when it is handled: whether the request has its answer by then is a part of it. */
+    /**
+     * Creates the event at the time it is handled, because it states whether the request has been answered by then.
+     */
     private AttemptEnded attemptEnded(
             long ticket, int attempt, long server, Outcome outcome, boolean fetching, long durationNanos) {
         return new AttemptEnded(ticket, server, attempt, outcome, fetching, slots.get(ticket) == null, durationNanos);
@@ -300,7 +329,7 @@
 
     private void send(Send send) {
         Slot slot = slots.get(send.request());
-        // Counted even if it cannot be made: the module numbers attempts by what it has asked for.
+        // Counted even if the attempt cannot be made, as the module numbers the attempts that it has asked for.
         int attempt = slot == null ? 0 : slot.attempts++;
         long left = slot == null ? 0 : slot.deadline - loop.now();
         if (left <= 0 || attempt >= slot.request.version().settings().limits().attempts()) {
@@ -330,19 +359,19 @@
         ended(slot, ending);
     }
 
-    /** Nothing more comes of a request. Its class stays in the settings until then, as it is told by its slot there. */
+    /** Reports that a request has ended, and releases its class, whose slot stays reserved until then. */
     private void ended(Slot slot, Ending ending) {
         tell(slot.request, ending, slot.openFor(loop.now()));
         versions.ended(slot.request.requestClass());
     }
 
-    /** Guards requests against the features that watch them: those come last, and a fault of theirs ends here. */
+    /** Notifies the observers. An exception of an observer is logged here, so that it cannot affect requests. */
     private void tell(Request request, Ending ending, long nanos) {
         for (RequestObserver observer : observers) {
             try {
                 observer.ended(request.requestClass(), request.tenant(), request.key(), ending, nanos);
             } catch (RuntimeException e) {
-                loop.log().line("internal-error", "a feature could not take a request's end: " + e);
+                loop.log().line("internal-error", "an observer failed on the end of a request: " + e);
             }
         }
     }
--- a/src/main/java/slateseam/router/core/ObservedStream.java
+++ b/src/main/java/slateseam/router/core/ObservedStream.java
@@ -6,8 +6,8 @@
 import slateseam.router.request.Incoming;
 
 /**
- * A long value on its way to its user agent that tells once how it ended. Guards the figures against counting as served what
- * is cut later: whether a long answer succeeds is known at its end alone.
+ * A streamed value that reports once how its transfer to the user agent ended. Whether a streamed answer succeeds is
+ * known only at its end, so metrics must not count it as served when it starts.
  */
 final class ObservedStream implements Incoming, Incoming.Taker {
     private final Incoming value;
@@ -16,10 +16,10 @@
     private Taker taker;
 
     /**
-     * Creates it.
+     * Wraps a streamed value.
      *
-     * @param whole how the request has ended once all has come
-     * @param ended is told how it has ended
+     * @param whole the ending of the request if the value is transferred completely
+     * @param ended called once with the ending of the request
      */
     ObservedStream(Incoming value, Ending whole, Consumer<Ending> ended) {
         this.value = value;
--- a/src/main/java/slateseam/router/core/package-info.java
+++ b/src/main/java/slateseam/router/core/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Holds each request in a numbered slot, turns happenings into the decision module's events and carries out its
- * actions. Decides nothing.
+ * Holds each request in a numbered slot, translates what happens in the router into events for the decision module,
+ * and carries out the actions that the module returns. This package makes no decisions itself.
  *
- * <p>It may use the decision module, requests, and those who carry its actions out. It is used by the router only;
- * other stages reach it through the interfaces of requests and passes.
+ * <p>It may use the decision module, the request package, and the packages that carry out actions. Only the router
+ * uses it directly; other stages reach it through the interfaces of the request and pass packages.
  */
 package slateseam.router.core;
--- a/src/main/java/slateseam/router/lifecycle/Lifecycle.java
+++ b/src/main/java/slateseam/router/lifecycle/Lifecycle.java
@@ -5,21 +5,26 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The states of a router, from its start to its end. It alone decides what is said to those who ask whether user agents may
- * come, and whether a connection stays behind its answer.
+ * The states of a router, from startup to shutdown. This class alone decides what health checks and PING report, and
+ * whether a connection is kept open after its answer.
  */
 public final class Lifecycle {
-    /** Where a router stands. */
+    /** The state of a router. */
     public enum State {
-        /** It does not take user agents yet. */
+        /** The router does not accept user agents yet. */
         STARTING,
-        /** It takes them. */
+        /** The router accepts user agents. */
         SERVING,
-        /** The operators sent user agents away: it serves who comes all the same, and keeps no connection. */
+        /**
+         * The operators drained the router: requests that still arrive are served, but no connection is kept open.
+         */
         DRAINED,
-        /** It has been told to end; who still comes is served, and connections stay for a while. */
+        /**
+         * A planned shutdown has begun: requests that still arrive are served, and connections are kept for a short
+         * time.
+         */
         ENDING,
-        /** It ends: it keeps no connection. */
+        /** The router is shutting down and keeps no connection open. */
         CLOSING
     }
 
@@ -28,24 +33,28 @@
     private boolean drained;
     private BooleanSupplier mayServe = () -> true;
 
-    /** Where it stands. */
+    /** Returns the present state. */
     public State state() {
         return state;
     }
 
-    /** Calls back when connections are no longer to be kept, at once and each time that becomes so. */
+    /** Adds an action that runs each time connections cease to be kept open. */
     public void whenLeaving(Runnable action) {
         whenLeaving.add(action);
     }
 
-    /** User agents can come from now on. */
+    /** Begins to accept user agents. */
     public void started() {
         if (state == State.STARTING) {
             state = State.SERVING;
         }
     }
 
-    /** Sends user agents away; again changes nothing. False where it has no meaning: it ends, or has not begun. */
+    /**
+     * Drains the router; a repeated call changes nothing.
+     *
+     * @return whether the router is drained; false while it is starting or shutting down
+     */
     public boolean drain() {
         if (state == State.SERVING) {
             state = State.DRAINED;
@@ -55,7 +64,11 @@
         return state == State.DRAINED;
     }
 
-    /** Takes user agents again; without a drain it changes nothing. False once it ends: an end is final. */
+    /**
+     * Accepts user agents again after a drain; without a drain it changes nothing.
+     *
+     * @return whether the router accepts user agents; always false during a shutdown, which cannot be undone
+     */
     public boolean resume() {
         if (state == State.DRAINED) {
             state = State.SERVING;
@@ -64,37 +77,40 @@
         return state == State.SERVING;
     }
 
-    /** The planned end begins; false if it has before. */
+    /** Begins a planned shutdown; returns false if it had begun before. */
     public boolean end() {
         if (state == State.ENDING || state == State.CLOSING) {
             return false;
         }
-        state = drained ? State.CLOSING : State.ENDING; // a drained one never keeps connections again
+        state = drained ? State.CLOSING : State.ENDING; // after a drain, connections are never kept open again
         return true;
     }
 
-    /** No connection is kept from now on, until the end. */
+    /** Keeps no connection open from now on. */
     public void close() {
         state = State.CLOSING;
         whenLeaving.forEach(Runnable::run);
     }
 
-    /** What the health check says: an end says no from its first moment. */
+    /** Returns the result of the health check, which is false as soon as a planned shutdown begins. */
     public boolean takesUserAgents() {
         return state == State.SERVING;
     }
 
-    /** What PING says to those who have come. In an end it stays yes, as who is still there is served. */
+    /**
+     * Returns whether PING succeeds on open connections. During a planned shutdown it still does, because requests on
+     * them are still served.
+     */
     public boolean answersPing() {
         return state != State.STARTING && !drained && mayServe.getAsBoolean();
     }
 
-    /** PING says no while this does: whoever has other routers goes there. */
+    /** Sets a check; while it returns false, PING fails, so that user agents with other routers use those. */
     public void gate(BooleanSupplier may) {
         mayServe = may;
     }
 
-    /** Whether a connection stays behind its answer. */
+    /** Returns whether a connection is kept open after its answer. */
     public boolean keepsConnections() {
         return state == State.STARTING || state == State.SERVING || state == State.ENDING;
     }
--- a/src/main/java/slateseam/router/lifecycle/package-info.java
+++ b/src/main/java/slateseam/router/lifecycle/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Whether this router takes user agents: what it says when asked, and whether their connections stay. No I/O.
+ * The lifecycle of a router: whether it accepts user agents, what health checks report, and whether connections are
+ * kept open. No I/O.
  *
- * <p>It uses nothing. It is used by the ways in, the second address and the router.
+ * <p>It uses no other package. It is used by the fronts, the control address and the router.
  */
 package slateseam.router.lifecycle;
--- a/src/main/java/slateseam/router/multiget/MultiGet.java
+++ b/src/main/java/slateseam/router/multiget/MultiGet.java
@@ -16,8 +16,12 @@
 import slateseam.router.useragent.Replies;
 import slateseam.router.useragent.Requests;
 
-/** {@code SLATE.MGET N} and N reads behind it: each goes its own way, and one answer brings them all in order. */
+/**
+ * The dialect for batches: {@code SLATE.MGET N} followed by N reads. Each read is routed on its own, and a single
+ * reply returns all N results in the order of the reads.
+ */
 public final class MultiGet implements Dialect {
+    /** The number of items in the command that begins a batch: its name and the number of reads. */
     private static final int HEAD_ITEMS = 2;
 
     private final Loop loop;
@@ -29,8 +33,12 @@
     private long heldBytes;
 
     /**
-     * Creates the dialect for batches of at most so many reads. Of values that wait for the rest of their answer, all
-     * batches hold so many bytes; one for which there is no room is to be asked for later.
+     * Creates the dialect.
+     *
+     * @param mostKeys the maximum number of reads in a batch
+     * @param retryAfterNanos the advised wait before a retry, for a read whose value did not fit into the bound below
+     * @param mostHeldBytes the maximum size of the values that all batches together hold until their replies are
+     *     complete
      */
     public MultiGet(
             Loop loop, Requests requests, Lifecycle lifecycle, int mostKeys, long retryAfterNanos, long mostHeldBytes) {
@@ -79,7 +87,7 @@
             }
         }
 
-        /** Guards against a number that cannot be used: nobody could tell which commands belong to the batch. */
+        /** Reads the batch size. An invalid size is a protocol error, as the end of the batch would be unknown. */
         private int number(List<ByteBuffer> command) throws MalformedException {
             int number = command.size() == HEAD_ITEMS ? Bytes.number(Bytes.text(command.get(1))) : -1;
             if (number < 0 || number > mostKeys) {
@@ -115,7 +123,10 @@
             held = 0;
         }
 
-        /** Guards the heap against many long values that wait for the slowest of their batch. */
+        /**
+         * Holds a value until its batch is complete, or refuses it if values that wait for slow reads would fill the
+         * heap.
+         */
         Answer hold(Answer answer) {
             int bytes = answer instanceof Answer.Served served ? served.value().length : 0;
             if (heldBytes + bytes > mostHeldBytes) {
@@ -168,7 +179,10 @@
             settle(Replies.of(kept));
         }
 
-        /** Its user agent waits no longer for it, but for the batch: the core is told, and a late answer goes nowhere. */
+        /**
+         * Withdraws this read from the core when its deadline passes, as the user agent still waits for the rest of
+         * the batch.
+         */
         private void timedOut() {
             requests.withdraw(this, Ending.TIMEOUT);
             settle(Replies.line("-TIMEOUT"));
--- a/src/main/java/slateseam/router/multiget/package-info.java
+++ b/src/main/java/slateseam/router/multiget/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The dialect of many values in one answer.
+ * The dialect for batches: many reads in one command, answered in one reply.
  *
- * <p>It may use the user agents' side, requests, network. It is used by the router, where the operators have turned
- * it on.
+ * <p>It may use the user agent, request and network packages. It is used by the router if the operators have turned
+ * the feature on.
  */
 package slateseam.router.multiget;
--- a/src/main/java/slateseam/router/package-info.java
+++ b/src/main/java/slateseam/router/package-info.java
@@ -1,7 +1,7 @@
 /**
- * One router: puts the stages together and ends them in order.
+ * One router: creates and connects its stages, and shuts them down in order.
  *
- * <p>It may use every package below it. It is used by the command line, and tools that run routers in their own
+ * <p>It may use every package below it. It is used by the command line, and by tools that run routers in their own
  * process.
  */
 package slateseam.router;
--- a/src/main/java/slateseam/router/request/Answer.java
+++ b/src/main/java/slateseam/router/request/Answer.java
@@ -1,16 +1,22 @@
 package slateseam.router.request;
 
-/** The one final answer of a request. */
+/** The final answer of a request; each request gets exactly one. */
 public sealed interface Answer {
-    /** The value or the write's receipt, as an application server or the origin gave it for this request. */
+    /** The value of a read or the receipt of a write, as an application server or the origin returned it. */
     record Served(byte[] value) implements Answer {}
 
-    /** The same, of which the value is on its way; whoever gets this takes it or stops it. */
+    /**
+     * A served value that is still arriving from the server. The receiver must either consume the value or stop it.
+     */
     record Streamed(Incoming value) implements Answer {}
 
-    /** An unavailable answer: trying again is harmless, after so long; 0 gives no advice. */
+    /**
+     * The request was not executed, so a retry is safe.
+     *
+     * @param retryAfterNanos the advised time to wait before a retry, in nanoseconds; 0 for no advice
+     */
     record Unavailable(long retryAfterNanos) implements Answer {}
 
-    /** Not served, nothing promised. */
+    /** The request was not served, and it is not known whether it was executed. */
     record Failed() implements Answer {}
 }
--- a/src/main/java/slateseam/router/request/Ending.java
+++ b/src/main/java/slateseam/router/request/Ending.java
@@ -1,6 +1,6 @@
 package slateseam.router.request;
 
-/** How a request ended, in the one set of words that features show. */
+/** How a request ended. Logs, metrics and the tap all use the words of this enum. */
 public enum Ending {
     /** A read that an application server served. */
     HIT("hit"),
@@ -8,13 +8,13 @@
     MISS("miss"),
     /** A write that was served. */
     WRITTEN("written"),
-    /** It got an unavailable answer. */
+    /** The request got an unavailable answer. */
     UNAVAILABLE("unavailable"),
-    /** It failed, and may have run. */
+    /** The request failed, and may have been executed. */
     FAILED("failed"),
-    /** Its time was over before its answer came; elements of a batch only. */
+    /** The deadline passed before the answer arrived. Used only for the elements of a batch. */
     TIMEOUT("timeout"),
-    /** Its user agent left before its answer came. */
+    /** The user agent disconnected before the answer was delivered. */
     LEFT("left");
 
     private final String word;
@@ -23,7 +23,7 @@
         this.word = word;
     }
 
-    /** The word that is shown. */
+    /** Returns the word for this ending in logs and metrics. */
     public String word() {
         return word;
     }
--- a/src/main/java/slateseam/router/request/Facts.java
+++ b/src/main/java/slateseam/router/request/Facts.java
@@ -2,17 +2,22 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** The list of names and values that a request carries: {@code c=read,t=acme,d=480}. */
+/**
+ * Reads and changes the list of one-letter names and values that a request carries, such as {@code
+ * c=read,t=acme,d=480}. {@code d} is the remaining time, in milliseconds.
+ */
 public final class Facts {
     private Facts() {}
 
-    /** The value of a name; null if the list lacks it. */
+    /** Returns the value of a name; null if the list does not contain the name. */
     public static String value(byte[] facts, char name) {
         int at = find(facts, name);
         return at < 0 ? null : new String(facts, at, end(facts, at) - at, StandardCharsets.ISO_8859_1);
     }
 
-    /** The same list with another time to wait, in milliseconds; unchanged if it tells none. */
+    /**
+     * Returns the list with the remaining time replaced, in milliseconds; the same list if it contains no such time.
+     */
     public static byte[] withTimeLeft(byte[] facts, long millis) {
         int at = find(facts, 'd');
         if (at < 0) {
@@ -27,7 +32,7 @@
         return changed;
     }
 
-    /** Where the value of a name begins; -1 if it is not there. */
+    /** Returns the index at which the value of a name begins; -1 if the list does not contain the name. */
     private static int find(byte[] facts, char name) {
         for (int i = 0; i + 1 < facts.length; i = end(facts, i) + 1) {
             if (facts[i] == name && facts[i + 1] == '=') {
--- a/src/main/java/slateseam/router/request/Front.java
+++ b/src/main/java/slateseam/router/request/Front.java
@@ -1,7 +1,13 @@
 package slateseam.router.request;
 
-/** A way in for requests. It hands each to the core under a number of its own and takes the one answer back. */
+/**
+ * An entry point for requests. A front passes each request to the core, together with an exchange number that the
+ * front chooses, and receives the final answer under that number.
+ */
 public interface Front {
-    /** Brings the final answer of an exchange; one whose user agent has left is passed over. */
+    /**
+     * Delivers the final answer of an exchange. An answer is ignored if the user agent of its exchange has
+     * disconnected.
+     */
     void answer(long exchange, Answer answer);
 }
--- a/src/main/java/slateseam/router/request/Incoming.java
+++ b/src/main/java/slateseam/router/request/Incoming.java
@@ -2,32 +2,35 @@
 
 import java.nio.ByteBuffer;
 
-/** A long value on its way from a server, of known length: it comes as fast as its taker takes it, and is held nowhere. */
+/**
+ * A value of known length that is being streamed from a server. The value is never buffered as a whole: its bytes
+ * arrive only as fast as the taker accepts them.
+ */
 public interface Incoming {
-    /** Who takes it. */
+    /** Receives the bytes of a streamed value. */
     interface Taker {
-        /** The next bytes; used up when this returns. */
+        /** Receives the next bytes. The buffer is not valid after this method returns. */
         void bytes(ByteBuffer bytes);
 
-        /** Whether more can be taken now; if not, {@link Incoming#more} tells when. */
+        /** Returns whether the taker accepts more bytes now; if not, it calls {@link Incoming#more} once it does. */
         boolean wantsMore();
 
-        /** All has come. */
+        /** Called when all bytes have been received. */
         void whole();
 
-        /** The rest will not come. */
+        /** Called when the transfer was aborted; the remaining bytes will not be received. */
         void cut();
     }
 
-    /** How many bytes it has in all. */
+    /** Returns the total length in bytes. */
     int length();
 
-    /** Begins to bring it; nothing comes before. */
+    /** Starts the transfer to a taker; no bytes are delivered before this call. */
     void to(Taker taker);
 
-    /** The taker can take more. */
+    /** Resumes the transfer; the taker calls this when it accepts bytes again. */
     void more();
 
-    /** Nobody takes it any more. */
+    /** Aborts the transfer, because its bytes are no longer wanted. */
     void stop();
 }
--- a/src/main/java/slateseam/router/request/Intake.java
+++ b/src/main/java/slateseam/router/request/Intake.java
@@ -1,10 +1,15 @@
 package slateseam.router.request;
 
-/** What the ways in need of the core. */
+/** The interface of the core that fronts use to submit and withdraw requests. */
 public interface Intake {
-    /** Takes a request and returns its ticket; -1 if it was answered at once, for want of room. */
+    /**
+     * Accepts a request.
+     *
+     * @param exchange the number under which the front expects the answer
+     * @return the ticket of the request; -1 if it was refused at once, so that the front already has the answer
+     */
     long arrived(Request request, Front front, long exchange);
 
-    /** The user agent waits no longer, for this reason; nothing is owed any more. */
+    /** Drops a request whose user agent no longer waits, for the given reason; no answer follows. */
     void withdrawn(long ticket, Ending why);
 }
--- a/src/main/java/slateseam/router/request/Names.java
+++ b/src/main/java/slateseam/router/request/Names.java
@@ -9,17 +9,18 @@
 import slateseam.router.net.Bytes;
 
 /**
- * How features show classes, tenants and keys: as one word each, so that none can forge a line or a part of one.
+ * The names of classes and tenants as logs and metrics show them. Each name is a single word, so that no name can
+ * forge a line or a field of a line.
  *
- * @param classes by slot
- * @param tenants by number; the last name is shared by all tenants that the settings do not know, so that nothing grows
- *     with what user agents make up
+ * @param classes the names of request classes, by slot
+ * @param tenants the names of tenants, by number; all tenants that the settings do not list share the last name, so
+ *     that the number of names does not grow with what user agents send
  */
 public record Names(List<String> classes, List<String> tenants) {
-    /** Of a key, so that lines stay short. */
+    /** The maximum number of bytes of a key that are shown, which keeps lines short. */
     public static final int MOST_KEY_BYTES = 256;
 
-    /** The names of a router's settings; those of classes as they are when they are asked for. */
+    /** Returns the names of the given settings; names of classes are looked up in the given list on each access. */
     public static Names of(Settings settings, List<String> classes) {
         return new Names(
                 new AbstractList<>() {
@@ -37,7 +38,7 @@
                         .toList());
     }
 
-    /** The name with {@code _} for all but visible ASCII and the letters and digits of other scripts. */
+    /** Replaces each character except visible ASCII and letters and digits of any script by {@code _}. */
     private static String word(String name) {
         StringBuilder word = new StringBuilder(name.isEmpty() ? "_" : name);
         for (int i = 0; i < word.length(); i++) {
@@ -49,7 +50,7 @@
         return word.toString();
     }
 
-    /** A key, cut off behind its first 256 bytes. */
+    /** Returns a key as visible ASCII, truncated after {@link #MOST_KEY_BYTES} bytes. */
     public static String key(byte[] key) {
         int shown = Math.min(key.length, MOST_KEY_BYTES);
         byte[] visible = new byte[shown];
--- a/src/main/java/slateseam/router/request/Request.java
+++ b/src/main/java/slateseam/router/request/Request.java
@@ -1,18 +1,18 @@
 package slateseam.router.request;
 
 /**
- * A request as a front took it.
+ * A request as a front received it.
  *
- * @param key what it asks for
- * @param id its id
- * @param facts its list of names and values, as it came
+ * @param key the key to read or write
+ * @param id the id that the user agent gave the request
+ * @param facts the list of names and values of the request, as received
  * @param value the value of a write; null for a read
- * @param version the settings that it came with
- * @param type the number of its class in them
- * @param tenant the number of its tenant
- * @param repeated whether the user agent marked it as a retry
- * @param ttlNanos how long the user agent waits, from when it sent it
- * @param streams whether a long value may be answered while it comes
+ * @param version the settings that were in force when the request arrived
+ * @param type the number of the request class in those settings
+ * @param tenant the number of the tenant
+ * @param repeated whether the user agent marked the request as a retry
+ * @param ttlNanos how long the user agent waits for the answer, from the time it sent the request
+ * @param streams whether a long value may be streamed to the user agent while it arrives from the server
  */
 public record Request(
         byte[] key,
@@ -25,17 +25,17 @@
         boolean repeated,
         long ttlNanos,
         boolean streams) {
-    /** The slot of its class, by which it is counted. */
+    /** Returns the slot of the request class, under which the request is counted. */
     public int requestClass() {
         return version.slots().get(type);
     }
 
-    /** Whether it changes what is stored. */
+    /** Returns whether this request is a write. */
     public boolean isWrite() {
         return value != null;
     }
 
-    /** The size of the value that it carries. */
+    /** Returns the size of the value of a write in bytes; 0 for a read. */
     public int valueBytes() {
         return value == null ? 0 : value.length;
     }
--- a/src/main/java/slateseam/router/request/Version.java
+++ b/src/main/java/slateseam/router/request/Version.java
@@ -5,18 +5,19 @@
 import slateseam.decision.Api.Settings;
 
 /**
- * One version of the settings, which never changes. A request keeps the one that it came with.
+ * One immutable version of the settings. A request keeps the version that was in force when it arrived.
  *
- * @param settings what the decision module is told
- * @param slots of each class, by its number in the settings: its slot, which is its own while any request of it is open
+ * @param settings the settings that the decision module receives
+ * @param slots the slot of each request class, by its number in the settings; no other class uses the slot while
+ *     requests of the class are open
  */
 public record Version(Settings settings, List<Integer> slots) {
-    /** Copies the list, so that a version never changes. */
+    /** Copies the list, so that the version is immutable. */
     public Version {
         slots = List.copyOf(slots);
     }
 
-    /** The number of a class by its name; -1 if there is none. */
+    /** Returns the number of the class with the given name; -1 if there is none. */
     public int number(String name) {
         for (int i = 0; name != null && i < settings.classes().size(); i++) {
             if (settings.classes().get(i).name().equals(name)) {
@@ -26,7 +27,7 @@
         return -1;
     }
 
-    /** A class by its number. */
+    /** Returns the class with the given number. */
     public RequestClass type(int number) {
         return settings.classes().get(number);
     }
--- a/src/main/java/slateseam/router/request/Versions.java
+++ b/src/main/java/slateseam/router/request/Versions.java
@@ -7,33 +7,36 @@
 import slateseam.decision.Api.Settings;
 
 /**
- * The settings in force, and the slots of classes. A class that is dropped keeps its slot until the last request of it has
- * ended; one that is added again under its name has it back. So there are at most as many slots as classes are listed and
- * have open requests at once.
+ * The settings in force, and the slots of request classes. A class that is removed from the settings keeps its slot
+ * until its last request has ended, and gets the same slot back if it is added again under the same name before the
+ * slot is reused. The number of slots is therefore bounded by the number of classes that are listed or have open
+ * requests at once.
  */
 public final class Versions {
     private final List<String> names = new ArrayList<>();
     private final List<Integer> open = new ArrayList<>();
     private Version current;
 
-    /** Begins with the settings of the start. */
+    /** Creates the first version from the settings at startup. */
     public Versions(Settings settings) {
         current = new Version(settings, slots(settings));
     }
 
-    /** The version that requests come with now. */
+    /** Returns the version in force, which new requests use. */
     public Version current() {
         return current;
     }
 
-    /** The names of classes by slot, as they are now: a view. */
+    /** Returns a live, read-only view of the names of classes, by slot. */
     public List<String> names() {
         return Collections.unmodifiableList(names);
     }
 
     /**
-     * Classes, limits and rules of these settings are in force from now on; all else stays until the next start, as the
-     * ring's messages and the farm's numbers depend on it.
+     * Adopts the classes, limits, rules and over-share worth of changed settings. All other settings stay until the
+     * next start, because the messages of the ring and the numbering of the farm depend on them.
+     *
+     * @return the new version
      */
     public Version adopt(Settings changed) {
         Settings was = current.settings();
@@ -54,12 +57,12 @@
         return current;
     }
 
-    /** A request of a class is open from now on. */
+    /** Counts a request of the class in the given slot as open. */
     public void begun(int slot) {
         open.set(slot, open.get(slot) + 1);
     }
 
-    /** It has ended. */
+    /** Counts a request of the class in the given slot as ended. */
     public void ended(int slot) {
         open.set(slot, open.get(slot) - 1);
     }
