--- a/src/main/java/slateseam/router/ToldFarm.java
+++ b/src/main/java/slateseam/router/ConfiguredFarmSource.java
@@ -20,64 +20,64 @@
 /**
  * The source of the farm of this router, discovery or Kubernetes, with what is stored of the farm across restarts.
  */
-final class ToldFarm implements FarmSource {
+final class ConfiguredFarmSource implements FarmSource {
     /**
      * Mixed into the seed, so that the random waits between tries differ from the random numbers of the decision
      * module.
      */
-    private static final long SEED = 0x6b38735f66726d31L;
+    private static final long SEED_SALT = 0x6b38735f66726d31L;
 
     private final NodeConfig config;
     private final Farm farm;
-    private final Executor aside;
+    private final Executor background;
     /** Null if Kubernetes reports the farm. */
     private final Watch watch;
     /** Null if discovery reports the farm. */
     private final KubernetesFarm kubernetes;
 
     private KubernetesSettings settings;
-    private boolean wasHanded;
+    private boolean fromPreviousProcess;
     /** Null if no other process of this router ever runs. */
     private final Handover handover;
 
     private final Loop loop;
     /** Null if snapshots are off. */
-    private final Memory memory;
+    private final FarmSnapshots snapshots;
 
     /**
      * Creates the source that the settings select, without starting it.
      *
-     * @param aside runs blocking tasks outside the loop; null if no feature needs it
+     * @param background runs blocking tasks outside the loop; null if no feature needs it
      * @param listener is called with each change of the farm
      */
-    ToldFarm(
+    ConfiguredFarmSource(
             Loop loop,
             NodeConfig config,
             Features features,
             Farm farm,
             Handover handover,
-            Executor aside,
+            Executor background,
             Consumer<MembersChanged> listener) {
         this.config = config;
         this.loop = loop;
         this.handover = handover;
         this.farm = farm;
-        this.aside = aside;
+        this.background = background;
         settings = features.kubernetes();
         if (settings == null) {
             kubernetes = null;
-            watch = new Watch(loop, config.discovery(), farm, config.seed() ^ SEED, changed -> {
+            watch = new Watch(loop, config.discovery(), farm, config.seed() ^ SEED_SALT, changed -> {
                 listener.accept(changed);
-                remember();
+                store();
             });
         } else {
             watch = null;
-            kubernetes = new KubernetesFarm(loop, aside, settings, farm, config.seed() ^ SEED, listener);
-            kubernetes.onChange(this::remember);
+            kubernetes = new KubernetesFarm(loop, background, settings, farm, config.seed() ^ SEED_SALT, listener);
+            kubernetes.onChange(this::store);
         }
-        memory = features.snapshot() == null
+        snapshots = features.snapshot() == null
                 ? null
-                : new Memory(loop, features.snapshot(), config.name(), source(), farm, kubernetes);
+                : new FarmSnapshots(loop, features.snapshot(), config.name(), source(), farm, kubernetes);
     }
 
     /** Returns an identifier of the source, so that a snapshot of another source is not used. */
@@ -92,16 +92,16 @@
      * Returns the farm known at startup: from the snapshot, else from the previous process, else from the
      * configuration.
      */
-    MembersChanged known() throws MalformedException {
-        MembersChanged kept =
-                memory == null ? null : memory.known(config.known().optLong("seq"));
-        if (kept != null) {
-            return kept;
+    MembersChanged initialMembers() throws MalformedException {
+        MembersChanged restored =
+                snapshots == null ? null : snapshots.restore(config.known().optLong("seq"));
+        if (restored != null) {
+            return restored;
         }
-        MembersChanged handed = handover == null || kubernetes != null ? null : handed();
-        if (handed != null) {
-            wasHanded = true;
-            return handed;
+        MembersChanged previous = handover == null || kubernetes != null ? null : previousMembers();
+        if (previous != null) {
+            fromPreviousProcess = true;
+            return previous;
         }
         MembersChanged known = farm.take(config.known(), true);
         return known.members().isEmpty() && kubernetes != null ? kubernetes.known() : known;
@@ -113,7 +113,7 @@
      *
      * @return false if discovery is not asked at once; the action is not called then
      */
-    boolean whenFirstTold(Runnable action) {
+    boolean whenFirstReported(Runnable action) {
         if (watch == null || config.settings().askedDiscovery()) {
             return false;
         }
@@ -122,17 +122,17 @@
     }
 
     /** Returns whether the farm known at startup came from the previous process of this router. */
-    boolean wasHanded() {
-        return wasHanded;
+    boolean isFromPreviousProcess() {
+        return fromPreviousProcess;
     }
 
     /**
      * Returns the farm that the previous process knew, if newer than the list in the configuration; null otherwise.
      */
-    private MembersChanged handed() {
-        String kept = handover.farm();
+    private MembersChanged previousMembers() {
+        String handedOver = handover.farm();
         try {
-            JSONObject list = kept == null ? null : new JSONObject(kept);
+            JSONObject list = handedOver == null ? null : new JSONObject(handedOver);
             return list == null || list.getLong("seq") <= config.known().optLong("seq") ? null : farm.take(list, true);
         } catch (JSONException | MalformedException e) {
             loop.log().line("handover", "the farm that was handed over cannot be read: " + e.getMessage());
@@ -145,9 +145,9 @@
         return kubernetes != null;
     }
 
-    private void remember() {
-        if (memory != null) {
-            memory.changed();
+    private void store() {
+        if (snapshots != null) {
+            snapshots.scheduleWrite();
         }
         if (handover != null && kubernetes == null) {
             try {
@@ -181,20 +181,20 @@
         if (changedSettings == null) {
             return "the API stays at " + settings.api() + ": a restart is needed to stop using it";
         }
-        boolean elsewhere =
+        boolean otherApi =
                 !changedSettings.api().authority().equals(settings.api().authority());
         kubernetes.moveTo(changedSettings);
         settings = settings.at(changedSettings.api());
-        if (elsewhere && memory != null) {
-            memory.moved(source(), aside);
+        if (otherApi && snapshots != null) {
+            snapshots.reopen(source(), background);
         }
         return "the API is at " + settings.api();
     }
 
     /** Writes a pending snapshot. */
     void close() {
-        if (memory != null) {
-            memory.close();
+        if (snapshots != null) {
+            snapshots.close();
         }
     }
 }
--- a/src/main/java/slateseam/router/Memory.java
+++ b/src/main/java/slateseam/router/FarmSnapshots.java
@@ -17,9 +17,9 @@
  * Stores the list of the farm in snapshots, so that a restarted router knows the farm before its source answers.
  * Exists only if the settings name a folder for snapshots.
  */
-final class Memory {
+final class FarmSnapshots {
     /** The maximum time to wait for a pending write when the router stops. */
-    private static final long MOST_CLOSE_MILLIS = 300;
+    private static final long MAX_CLOSE_WAIT_MILLIS = 300;
 
     private final Loop loop;
     private final Features.Snapshot settings;
@@ -30,14 +30,15 @@
     /** Null while snapshots of a new source are being opened. */
     private Snapshots snapshots;
 
-    private boolean offers;
+    private boolean writeScheduled;
 
     /**
      * Opens the snapshots of a router.
      *
      * @param source identifies what reports the farm; a snapshot of another source is not used
      */
-    Memory(Loop loop, Features.Snapshot settings, String router, String source, Farm farm, KubernetesFarm kubernetes) {
+    FarmSnapshots(
+            Loop loop, Features.Snapshot settings, String router, String source, Farm farm, KubernetesFarm kubernetes) {
         this.loop = loop;
         this.settings = settings;
         this.router = router;
@@ -61,10 +62,11 @@
     /**
      * Restores the farm from the snapshot.
      *
-     * @param other the version of the discovery list in the configuration; a snapshot that is not newer is not used
+     * @param configuredVersion the version of the discovery list in the configuration; a snapshot that is not newer
+     *     is not used
      * @return the members of the farm; null if there is no usable snapshot
      */
-    MembersChanged known(long other) throws MalformedException {
+    MembersChanged restore(long configuredVersion) throws MalformedException {
         Found found = snapshots.read(loop.now());
         loop.log().line("snapshot", found.text());
         if (found.finding() == Finding.GOOD && found.content() instanceof Content.Slices slices && kubernetes != null) {
@@ -72,24 +74,24 @@
             return kubernetes.known();
         }
         if (found.finding() == Finding.GOOD
-                && found.content() instanceof Content.Discovery told
+                && found.content() instanceof Content.Discovery discovered
                 && kubernetes == null
-                && told.list().optLong("seq") > other) {
-            return farm.take(told.list(), true);
+                && discovered.list().optLong("seq") > configuredVersion) {
+            return farm.take(discovered.list(), true);
         }
         return null;
     }
 
     /** Schedules a snapshot after the farm has changed; changes within one interval share a snapshot. */
-    void changed() {
-        if (!offers) {
-            offers = true;
-            loop.after(settings.everyNanos(), this::offer);
+    void scheduleWrite() {
+        if (!writeScheduled) {
+            writeScheduled = true;
+            loop.after(settings.everyNanos(), this::write);
         }
     }
 
-    private void offer() {
-        offers = false;
+    private void write() {
+        writeScheduled = false;
         if (snapshots != null) {
             snapshots.offer(
                     kubernetes == null
@@ -103,23 +105,23 @@
      * Reopens the snapshots for another source. Each Kubernetes API counts its own versions, so a snapshot of one API
      * must not be read as a snapshot of another.
      */
-    void moved(String source, Executor aside) {
-        Snapshots before = snapshots;
+    void reopen(String source, Executor background) {
+        Snapshots previous = snapshots;
         snapshots = null;
-        aside.execute(() -> {
-            close(before);
+        background.execute(() -> {
+            close(previous);
             Snapshots opened = open(source);
             loop.handOver(() -> {
                 snapshots = opened;
-                changed();
+                scheduleWrite();
             });
         });
     }
 
     /** Writes a pending snapshot, and waits for at most 0.3 s until it is written. */
     void close() {
-        if (offers) {
-            offer();
+        if (writeScheduled) {
+            write();
         }
         close(snapshots);
     }
@@ -127,7 +129,7 @@
     private static void close(Snapshots snapshots) {
         try {
             if (snapshots != null) {
-                snapshots.close(MOST_CLOSE_MILLIS);
+                snapshots.close(MAX_CLOSE_WAIT_MILLIS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/slateseam/router/Part.java
+++ b/src/main/java/slateseam/router/Part.java
@@ -22,10 +22,10 @@
      *
      * @param peers null once another process of this router has taken over the messages
      */
-    default void talk(Peers peers) {}
+    default void setPeers(Peers peers) {}
 
     /** Called when new settings have been put into force. */
-    default void retune(NodeConfig changed) {}
+    default void settingsChanged(NodeConfig changed) {}
 
     /** Closes the listeners of the part during a planned shutdown; new connections are refused. */
     default void close() throws IOException {}
@@ -34,10 +34,10 @@
     default void stop() {}
 
     /** Adds the counts and gauges of the part to the metrics. */
-    default void count(Counts counts) {}
+    default void addCounts(Counts counts) {}
 
     /** Registers the operator calls of the part at the control address. */
-    default void answer(Control calls) {}
+    default void addCalls(Control calls) {}
 
     /** Shows the present state of the part, on request of the operators. */
     default void show() {}
--- a/src/main/java/slateseam/router/Parts.java
+++ b/src/main/java/slateseam/router/Parts.java
@@ -41,7 +41,7 @@
      *
      * @param names null if no feature is on
      * @param console null if no feature is on
-     * @param several whether another process of this router may run at the same time
+     * @param sharesAddress whether another process of this router may listen at the same address
      * @param adopt puts settings into force
      */
     record Base(
@@ -56,7 +56,7 @@
             ServiceCounts served,
             Names names,
             Console console,
-            boolean several,
+            boolean sharesAddress,
             Consumer<NodeConfig> adopt) {}
 
     private final List<Part> all = new ArrayList<>();
@@ -68,18 +68,18 @@
     /**
      * Creates the parts. Some open their listeners, but no part starts before {@link #begin}.
      *
-     * @param told the source of the farm of this router
+     * @param farmSource the source of the farm of this router
      * @param upgrade null if no other process of this router ever runs
      */
-    Parts(Base base, ToldFarm told, Upgrade upgrade) throws IOException {
+    Parts(Base base, ConfiguredFarmSource farmSource, Upgrade upgrade) throws IOException {
         Features features = base.features();
         control = base.config().control() == null ? null : control(base);
         Counts counts = features.figures() == null ? null : counts(base);
         add(features.hotList() == null ? null : hotList(base));
         add(counts == null ? null : figures(base, counts));
         add(features.tap() == null ? null : tap(base));
-        add(control == null ? null : calls(control));
-        add(farm(told));
+        add(control == null ? null : controlPart(control));
+        add(farm(farmSource));
         Tier tier = features.tier() == null
                 ? null
                 : new Tier(features.tier(), base.config(), base.loop(), base.core()::happened);
@@ -100,10 +100,10 @@
         add(upgrade == null ? null : handover(upgrade));
         for (Part part : all) {
             if (counts != null) {
-                part.count(counts);
+                part.addCounts(counts);
             }
             if (control != null) {
-                part.answer(control);
+                part.addCalls(control);
             }
         }
     }
@@ -147,7 +147,7 @@
             }
 
             @Override
-            public void retune(NodeConfig changed) {
+            public void settingsChanged(NodeConfig changed) {
                 figures.flushWhole(); // counts up to now belong to the old names
             }
 
@@ -164,7 +164,7 @@
                 features.tap(),
                 base.loop(),
                 Features.beside(base.config().listen(), features.tap().port()),
-                base.several(),
+                base.sharesAddress(),
                 base.names(),
                 base.console(),
                 base.config().seed());
@@ -186,7 +186,7 @@
         };
     }
 
-    private static Part calls(Control control) {
+    private static Part controlPart(Control control) {
         return new Part() {
             @Override
             public void close() throws IOException {
@@ -195,11 +195,11 @@
         };
     }
 
-    private static Part farm(ToldFarm told) {
+    private static Part farm(ConfiguredFarmSource farmSource) {
         return new Part() {
             @Override
             public void stop() {
-                told.close();
+                farmSource.close();
             }
         };
     }
@@ -207,19 +207,19 @@
     private static Part tier(Tier tier) {
         return new Part() {
             @Override
-            public void talk(Peers peers) {
+            public void setPeers(Peers peers) {
                 // Null once another process has taken over: that process is the same member, with a newer
                 // incarnation.
                 tier.talk(peers);
             }
 
             @Override
-            public void count(Counts counts) {
+            public void addCounts(Counts counts) {
                 tier.count(counts);
             }
 
             @Override
-            public void answer(Control calls) {
+            public void addCalls(Control calls) {
                 calls.on("GET", "/tier", () -> Reply.json(tier.json().toString()));
             }
 
@@ -231,30 +231,30 @@
     }
 
     private static Part policy(SharedPolicy policy, Base base) {
-        base.core().gate(policy::mayServe);
-        base.lifecycle().gate(policy::mayServe);
+        base.core().setServingCheck(policy::mayServe);
+        base.lifecycle().setServingCheck(policy::mayServe);
         return new Part() {
             @Override
-            public void talk(Peers peers) {
+            public void setPeers(Peers peers) {
                 policy.talk(peers);
             }
 
             @Override
-            public void count(Counts counts) {
+            public void addCounts(Counts counts) {
                 policy.count(counts);
             }
 
             @Override
-            public void answer(Control calls) {
+            public void addCalls(Control calls) {
                 calls.on("GET", "/policy", () -> Reply.json(policy.json().toString()))
-                        .on("POST", "/policy/begin", () -> said(policy.begin()))
-                        .on("POST", "/policy/propose", () -> said(policy.propose()))
-                        .on("POST", "/policy/undo", () -> said(policy.undo()));
+                        .on("POST", "/policy/begin", () -> reply(policy.begin()))
+                        .on("POST", "/policy/propose", () -> reply(policy.propose()))
+                        .on("POST", "/policy/undo", () -> reply(policy.undo()));
             }
         };
     }
 
-    private static Reply said(String fault) {
+    private static Reply reply(String fault) {
         return fault == null ? Reply.yes("it is asked for") : Reply.no(fault);
     }
 
@@ -262,7 +262,7 @@
      * Returns the effective configuration: the given configuration of this router, overlaid with the policy of the
      * tier.
      */
-    NodeConfig over(NodeConfig own) throws InvalidConfigException {
+    NodeConfig withPolicy(NodeConfig own) throws InvalidConfigException {
         return policy == null ? own : policy.over(own);
     }
 
@@ -331,13 +331,13 @@
     /**
      * Sets what sends and receives datagrams; null once another process of this router has taken over the messages.
      */
-    void talk(Peers peers) {
-        all.forEach(part -> part.talk(peers));
+    void setPeers(Peers peers) {
+        all.forEach(part -> part.setPeers(peers));
     }
 
     /** Notifies the parts that new settings have been put into force. */
-    void retune(NodeConfig changed) {
-        all.forEach(part -> part.retune(changed));
+    void settingsChanged(NodeConfig changed) {
+        all.forEach(part -> part.settingsChanged(changed));
     }
 
     /** Closes the listeners of the parts during a planned shutdown. */
--- a/src/main/java/slateseam/router/Router.java
+++ b/src/main/java/slateseam/router/Router.java
@@ -39,9 +39,9 @@
 /** One router: creates and connects its stages, and shuts them down in order. */
 public final class Router {
     /** Descriptors reserved for the virtual machine, the selector, discovery and peers. */
-    private static final int OTHER_SOCKETS = 48;
+    private static final int RESERVED_DESCRIPTORS = 48;
     /** The requests of user agents may hold at most one in this many descriptors. */
-    private static final int HELD_PART = 3;
+    private static final int HELD_DESCRIPTORS_DIVISOR = 3;
     /**
      * Time from the start of a planned shutdown until listeners close: new connections still arrive for up to 0.4 s.
      */
@@ -50,19 +50,19 @@
      * Upper bound of the longest deadline that a planned shutdown waits for. The process is killed no sooner than
      * after the longest deadline, or this bound if it is shorter, plus the time in which requests may still arrive.
      */
-    private static final long LONGEST_NANOS = 3_000_000_000L;
+    private static final long MAX_DEADLINE_NANOS = 3_000_000_000L;
     /**
      * Time after the start of a planned shutdown in which requests may still arrive at this process; slightly shorter
      * than the actual time, because answers take time to be sent.
      */
-    private static final long TAKEN_NANOS = 600_000_000L;
+    private static final long LATE_ARRIVAL_NANOS = 600_000_000L;
     /** Time that connections have to close once they accept no more commands. */
-    private static final long ENDING_NANOS = 1_100_000_000L;
+    private static final long CLOSE_TIMEOUT_NANOS = 1_100_000_000L;
     /** Time that a process that is to take over waits for discovery before it accepts user agents. */
-    private static final long FARM_NANOS = 2_000_000_000L;
+    private static final long FARM_WAIT_NANOS = 2_000_000_000L;
 
     private final Loop loop;
-    private long longestNanos;
+    private long longestAnswerNanos;
     private final RespFront front;
     private final Lifecycle lifecycle = new Lifecycle();
     private final ServiceCounts served = new ServiceCounts();
@@ -77,13 +77,13 @@
     private final Core core;
     private final Passes passes;
     /** The number of descriptors for the connections of user agents and servers together. */
-    private final int shared;
+    private final int sharedDescriptors;
     /** Null if no other process of this router ever runs. */
     private final Upgrade upgrade;
 
     private Peers peers;
     private List<Listener> listeners = new ArrayList<>();
-    private final ToldFarm told;
+    private final ConfiguredFarmSource farmSource;
     private final Parts parts;
 
     /**
@@ -131,10 +131,10 @@
         this.used = config;
         loop = new Loop(place.network(), clock, log, place.heapBytes());
         Limits limits = config.settings().limits();
-        shared = config.sockets() - OTHER_SOCKETS - Parts.descriptors(config, features, handover);
-        int userAgents = userAgents(shared);
+        sharedDescriptors = config.sockets() - RESERVED_DESCRIPTORS - Parts.descriptors(config, features, handover);
+        int userAgents = userAgents(sharedDescriptors);
         Farm farm = new Farm(config.zones(), config.kinds(), config.settings().originKind());
-        longestNanos = config.settings().longestAnswerNanos();
+        longestAnswerNanos = config.settings().longestAnswerNanos();
         versions = new Versions(config.settings());
         core = new Core(loop, versions, config.seed(), config.mostHeld(), features.supplyLinks());
         passes = new Passes(
@@ -143,21 +143,22 @@
                 core,
                 limits.connectTimeoutNanos(),
                 new Bounds(
-                        shared - userAgents,
+                        sharedDescriptors - userAgents,
                         config.idleNanos(),
                         Math.min(features.serverStreams(), limits.streamsPerConnection())),
                 served::dispatched);
-        told = new ToldFarm(loop, config, features, farm, handover, place.aside(), changed -> {
+        farmSource = new ConfiguredFarmSource(loop, config, features, farm, handover, place.aside(), changed -> {
             passes.farmChanged();
             core.happened(changed);
-            listen();
+            startListening();
         });
-        boolean heir = handover != null && handover.isHeir();
-        peers = heir ? null : openPeers();
+        boolean isHeir = handover != null && handover.isHeir();
+        peers = isHeir ? null : openPeers();
         Names names = features.equals(Features.OFF) ? null : Names.of(config.settings(), versions.names());
-        front = new RespFront(loop, lifecycle, longestNanos, userAgents, config.sockets() / HELD_PART);
-        boolean several = handover != null;
-        upgrade = several ? new Upgrade(loop, handover, this::takeOver, this::share) : null;
+        front = new RespFront(
+                loop, lifecycle, longestAnswerNanos, userAgents, config.sockets() / HELD_DESCRIPTORS_DIVISOR);
+        boolean sharesAddress = handover != null;
+        upgrade = sharesAddress ? new Upgrade(loop, handover, this::takeOver, this::shareDescriptors) : null;
         parts = new Parts(
                 new Parts.Base(
                         config,
@@ -171,26 +172,26 @@
                         served,
                         names,
                         console,
-                        several,
+                        sharesAddress,
                         this::adopt),
-                told,
+                farmSource,
                 upgrade);
-        core.start(passes, peers, told);
+        core.start(passes, peers, farmSource);
         if (peers != null) {
-            parts.talk(peers);
+            parts.setPeers(peers);
         }
-        if (heir) {
+        if (isHeir) {
             core.happened(new Rests(true));
         }
-        boolean known = !heir;
+        boolean farmIsKnown = !isHeir;
         try {
-            core.happened(told.known());
-            known |= told.wasHanded();
+            core.happened(farmSource.initialMembers());
+            farmIsKnown |= farmSource.isFromPreviousProcess();
         } catch (MalformedException e) {
             log.line("farm-malformed", "the list of the farm known at startup was dropped: " + e.getMessage());
         }
         Requests requests = new Requests(core, versions, config.mostHeld());
-        listeners.add(new Listener(config.listen(), front.gate(new Commands(requests, lifecycle)), several));
+        listeners.add(new Listener(config.listen(), front.gate(new Commands(requests, lifecycle)), sharesAddress));
         if (features.multiGet() != null) {
             MultiGet dialect = new MultiGet(
                     loop,
@@ -200,27 +201,29 @@
                     limits.maxRetryAfterNanos(),
                     loop.heapBytes() / 10); // slightly less than the bound on unread input in the front
             listeners.add(new Listener(
-                    Features.beside(config.listen(), features.multiGet().port()), front.gate(dialect), several));
+                    Features.beside(config.listen(), features.multiGet().port()), front.gate(dialect), sharesAddress));
         }
         served.name(versions.names());
-        served.gauge("concurrent", core::open).gauge("targets", farm::servers).gauge("targets_disabled", core::avoided);
+        served.gauge("concurrent", core::open)
+                .gauge("targets", farm::servers)
+                .gauge("targets_disabled", core::serversWithoutRequests);
         core.observe(served);
         parts.begin();
-        if (!heir) {
+        if (!isHeir) {
             reservePorts(); // a port that is in use is reported before the wait for the farm
         }
-        if (!known) {
-            loop.after(FARM_NANOS, this::listen);
-        } else if (!told.whenFirstTold(this::listen)) {
+        if (!farmIsKnown) {
+            loop.after(FARM_WAIT_NANOS, this::startListening);
+        } else if (!farmSource.whenFirstReported(this::startListening)) {
             listenNow();
         }
         if (!config.settings().askedDiscovery()) {
-            told.begin();
+            farmSource.begin();
         }
         parts.observers().forEach(core::observe);
     }
 
-    private record Listener(InetSocketAddress at, Acceptor.Gate gate, boolean several) {}
+    private record Listener(InetSocketAddress at, Acceptor.Gate gate, boolean sharesAddress) {}
 
     /**
      * Returns the user agents' share of descriptors: more than half, as each open request and idle connection takes
@@ -243,15 +246,15 @@
         List<Listener> open = listeners;
         listeners = List.of();
         for (Listener listener : open) {
-            acceptors.add(new Acceptor(loop, listener.at(), listener.gate(), listener.several()));
+            acceptors.add(new Acceptor(loop, listener.at(), listener.gate(), listener.sharesAddress()));
         }
     }
 
-    private void listen() {
+    private void startListening() {
         try {
-            boolean late = !listens();
+            boolean wasStarting = !listens();
             listenNow();
-            if (late && lifecycle.takesUserAgents()) {
+            if (wasStarting && lifecycle.takesUserAgents()) {
                 loop.log().line("serving", "at " + address());
             }
         } catch (IOException e) {
@@ -270,9 +273,9 @@
     private boolean takeOver() {
         try {
             peers = openPeers();
-            core.talk(peers);
+            core.setPeers(peers);
             core.happened(new Rests(false));
-            parts.talk(peers);
+            parts.setPeers(peers);
             return true;
         } catch (IOException e) {
             return false;
@@ -280,11 +283,11 @@
     }
 
     /** Limits this process to half of the descriptors while another process of this router runs. */
-    private void share(boolean halved) {
-        int kept = halved ? (shared - OTHER_SOCKETS) / 2 : shared;
-        int ofUserAgents = userAgents(kept);
-        front.bound(ofUserAgents, config.sockets() / HELD_PART / (halved ? 2 : 1));
-        passes.bound(kept - ofUserAgents);
+    private void shareDescriptors(boolean halved) {
+        int available = halved ? (sharedDescriptors - RESERVED_DESCRIPTORS) / 2 : sharedDescriptors;
+        int ofUserAgents = userAgents(available);
+        front.bound(ofUserAgents, config.sockets() / HELD_DESCRIPTORS_DIVISOR / (halved ? 2 : 1));
+        passes.bound(available - ofUserAgents);
     }
 
     /**
@@ -339,11 +342,11 @@
         loop.handOver(() -> {
             try {
                 NodeConfig changed = used.reread(file);
-                boolean follows = settings != null && told.followsKubernetes();
-                takeOver(
+                boolean followsKubernetes = settings != null && farmSource.followsKubernetes();
+                applyReload(
                         changed,
-                        parts.over(changed),
-                        follows ? Features.read(settings, changed).kubernetes() : null);
+                        parts.withPolicy(changed),
+                        followsKubernetes ? Features.read(settings, changed).kubernetes() : null);
             } catch (InvalidConfigException e) {
                 served.reloaded(false);
                 loop.log().line("reload-failed", "the configuration in use stays: " + e.getMessage());
@@ -355,7 +358,7 @@
     public void reload(NodeConfig changed) {
         loop.handOver(() -> {
             try {
-                takeOver(changed, parts.over(changed), null);
+                applyReload(changed, parts.withPolicy(changed), null);
             } catch (InvalidConfigException e) {
                 served.reloaded(false);
                 loop.log().line("reload-failed", "the configuration in use stays: " + e.getMessage());
@@ -366,9 +369,9 @@
     /** Puts settings into force, whether they come from a file or from the policy of the tier. */
     private void adopt(NodeConfig changed) {
         core.retune(changed.settings());
-        longestNanos = Math.max(longestNanos, changed.settings().longestAnswerNanos());
-        front.longest(longestNanos);
-        parts.retune(changed);
+        longestAnswerNanos = Math.max(longestAnswerNanos, changed.settings().longestAnswerNanos());
+        front.longest(longestAnswerNanos);
+        parts.settingsChanged(changed);
         served.name(versions.names());
     }
 
@@ -376,16 +379,16 @@
      * Adopts a changed configuration file.
      *
      * @param changed the configuration file of this router
-     * @param by the effective configuration: the file, overlaid with the policy of the tier
+     * @param effective the effective configuration: the file, overlaid with the policy of the tier
      */
-    private void takeOver(NodeConfig changed, NodeConfig by, KubernetesSettings settings) {
+    private void applyReload(NodeConfig changed, NodeConfig effective, KubernetesSettings settings) {
         served.reloaded(true);
         used = changed;
-        adopt(by);
+        adopt(effective);
         loop.log()
                 .line(
                         "reloaded",
-                        told.moveTo(changed, settings) + "; classes "
+                        farmSource.moveTo(changed, settings) + "; classes "
                                 + String.join(
                                         ", ",
                                         changed.settings().classes().stream()
@@ -405,11 +408,11 @@
     public void end() {
         loop.handOver(() -> {
             if (lifecycle.end()) {
-                long left = Math.min(longestNanos, LONGEST_NANOS) + TAKEN_NANOS;
-                core.answerBy(loop.now() + left);
-                loop.after(left, front::finish);
-                loop.after(left + ENDING_NANOS, this::stop);
-                if (upgrade != null && upgrade.ends()) {
+                long remainingNanos = Math.min(longestAnswerNanos, MAX_DEADLINE_NANOS) + LATE_ARRIVAL_NANOS;
+                core.endAnswersBy(loop.now() + remainingNanos);
+                loop.after(remainingNanos, front::finish);
+                loop.after(remainingNanos + CLOSE_TIMEOUT_NANOS, this::stop);
+                if (upgrade != null && upgrade.beginEnd()) {
                     handOver();
                 } else {
                     loop.after(LINGER_NANOS, this::close);
@@ -427,10 +430,10 @@
         } catch (IOException e) {
             loop.log().line("socket-error", e.toString());
         }
-        core.talk(null);
-        parts.talk(null);
+        core.setPeers(null);
+        parts.setPeers(null);
         core.happened(new Rests(true));
-        upgrade.hand();
+        upgrade.handOver();
         close();
     }
 
--- a/src/main/java/slateseam/router/Upgrade.java
+++ b/src/main/java/slateseam/router/Upgrade.java
@@ -14,18 +14,18 @@
  */
 final class Upgrade {
     /** Polling interval during a takeover; short, because requests that wait at the new process wait for it. */
-    private static final long HEIR_NANOS = 10 * Clock.MILLI;
+    private static final long TAKEOVER_POLL_NANOS = 10 * Clock.MILLI;
 
     /** Polling interval otherwise; long, so that an idle router rarely wakes up. */
-    private static final long SERVING_NANOS = 200 * Clock.MILLI;
+    private static final long IDLE_POLL_NANOS = 200 * Clock.MILLI;
 
     private final Loop loop;
     private final Handover handover;
     private final Succession succession;
     private final BooleanSupplier takeOver;
     private final Consumer<Boolean> share;
-    private boolean taken;
-    private boolean shared;
+    private boolean tookOver;
+    private boolean sharesDescriptors;
 
     /**
      * Creates the upgrade logic of a process that has already checked for another process.
@@ -39,7 +39,7 @@
         this.succession = new Succession(handover.isHeir());
         this.takeOver = takeOver;
         this.share = share;
-        this.taken = !handover.isHeir();
+        this.tookOver = !handover.isHeir();
     }
 
     boolean isHeir() {
@@ -48,14 +48,14 @@
 
     /** Starts polling. */
     void begin() {
-        settle();
+        apply();
         if (succession.role() != Role.SOLE) {
             loop.log().line("upgrade", "another process of this router serves; this one is to take over");
         }
-        loop.after(succession.role() == Role.SOLE ? SERVING_NANOS : HEIR_NANOS, this::look);
+        loop.after(succession.role() == Role.SOLE ? IDLE_POLL_NANOS : TAKEOVER_POLL_NANOS, this::poll);
     }
 
-    private void look() {
+    private void poll() {
         try {
             Role before = succession.role();
             switch (before) {
@@ -75,18 +75,18 @@
         } catch (IOException e) {
             loop.log().line("upgrade", "cannot check for another process of this router: " + e);
         }
-        settle();
-        boolean soon = !taken || succession.role() == Role.SUCCESSOR;
-        loop.after(soon ? HEIR_NANOS : SERVING_NANOS, this::look);
+        apply();
+        boolean pollOften = !tookOver || succession.role() == Role.SUCCESSOR;
+        loop.after(pollOften ? TAKEOVER_POLL_NANOS : IDLE_POLL_NANOS, this::poll);
     }
 
-    private void settle() {
-        if (shared != succession.isShared()) {
-            shared = succession.isShared();
-            share.accept(shared);
+    private void apply() {
+        if (sharesDescriptors != succession.isShared()) {
+            sharesDescriptors = succession.isShared();
+            share.accept(sharesDescriptors);
         }
-        if (!taken && succession.hasSupply()) {
-            taken = takeOver.getAsBoolean();
+        if (!tookOver && succession.hasSupply()) {
+            tookOver = takeOver.getAsBoolean();
         }
     }
 
@@ -95,7 +95,7 @@
      *
      * @return whether another process takes over, to which this one must hand over
      */
-    boolean ends() {
+    boolean beginEnd() {
         try {
             succession.heir(handover.heirIsThere());
         } catch (IOException e) {
@@ -105,7 +105,7 @@
     }
 
     /** Hands over to the other process; from now on this process uses nothing that it has handed over. */
-    void hand() {
+    void handOver() {
         try {
             handover.hand();
         } catch (IOException e) {
--- a/src/main/java/slateseam/router/core/Core.java
+++ b/src/main/java/slateseam/router/core/Core.java
@@ -56,20 +56,20 @@
         final Request request;
         final Front front;
         final long exchange;
-        final long begunAt;
+        final long arrivedAt;
         final long deadline;
         long ticket;
-        Deadline overdue;
+        Deadline overdueTimer;
         int attempts;
         /** Whether the latest attempt of this request went to the origin. */
         boolean atOrigin;
 
-        Slot(Request request, Front front, long exchange, long begunAt, long ttlNanos) {
+        Slot(Request request, Front front, long exchange, long arrivedAt, long ttlNanos) {
             this.request = request;
             this.front = front;
             this.exchange = exchange;
-            this.begunAt = begunAt;
-            this.deadline = begunAt + ttlNanos;
+            this.arrivedAt = arrivedAt;
+            this.deadline = arrivedAt + ttlNanos;
         }
 
         /**
@@ -79,16 +79,16 @@
         @Override
         public void run() {
             loop.log().line("overdue", "the decision module left a request without an answer; the request fails");
-            giveUp();
+            fail();
         }
 
-        void giveUp() {
+        void fail() {
             finish(ticket, new Answer.Failed());
             happened(new ClientGone(ticket));
         }
 
-        long openFor(long now) {
-            return now - begunAt;
+        long ageNanos(long now) {
+            return now - arrivedAt;
         }
 
         Ending ending(Answer answer) {
@@ -104,11 +104,11 @@
     private final Brain brain;
     private final Slots<Slot> slots;
     /** Events that arose while another event was being handled: an action may cause a further event immediately. */
-    private final Queue<Supplier<Event>> happenings = new ArrayDeque<>();
+    private final Queue<Supplier<Event>> pendingEvents = new ArrayDeque<>();
     /** The actions that the module returned for the event being handled. */
     private final List<Action> actions = new ArrayList<>();
 
-    private final Consumer<Action> collect = actions::add;
+    private final Consumer<Action> collectAction = actions::add;
     private final List<RequestObserver> observers = new ArrayList<>();
     private BooleanSupplier mayServe = () -> true;
     private boolean handling;
@@ -116,13 +116,13 @@
      * The time on the loop's clock, in nanoseconds, by which every answer must be sent; the process may be killed
      * after it.
      */
-    private long answersBy = Long.MAX_VALUE;
+    private long answersDueAt = Long.MAX_VALUE;
     /** The maximum total size of the values of open writes, so that they cannot fill the heap. */
     private final long mostHeldBytes;
 
     private long heldBytes;
     /** The number of streamed answers that are still being sent to user agents. */
-    private int streams;
+    private int openStreams;
 
     private Passes passes;
     private Peers peers;
@@ -131,23 +131,23 @@
     /**
      * Creates the core of a router that exchanges supply with its ring neighbours only.
      *
-     * @param mostHeld the maximum number of requests that are open at once
+     * @param maxRequests the maximum number of requests that are open at once
      */
-    public Core(Loop loop, Versions versions, long seed, int mostHeld) {
-        this(loop, versions, seed, mostHeld, SupplyLinks.OFF);
+    public Core(Loop loop, Versions versions, long seed, int maxRequests) {
+        this(loop, versions, seed, maxRequests, SupplyLinks.OFF);
     }
 
     /**
      * Creates the core of a router that may also exchange supply beyond its ring neighbours.
      *
-     * @param mostHeld the maximum number of requests that are open at once
+     * @param maxRequests the maximum number of requests that are open at once
      * @param links the routers with which supply is exchanged in addition to the ring neighbours
      */
-    public Core(Loop loop, Versions versions, long seed, int mostHeld, SupplyLinks links) {
+    public Core(Loop loop, Versions versions, long seed, int maxRequests, SupplyLinks links) {
         this.loop = loop;
         this.versions = versions;
         this.brain = new Brain(versions.current().settings(), seed, links);
-        this.slots = new Slots<>(mostHeld);
+        this.slots = new Slots<>(maxRequests);
         this.mostHeldBytes = loop.heapBytes() / 8;
     }
 
@@ -166,8 +166,8 @@
     }
 
     /** Sets a check; while it returns false, each new request is refused at once with a retry-after time. */
-    public void gate(BooleanSupplier may) {
-        mayServe = may;
+    public void setServingCheck(BooleanSupplier check) {
+        mayServe = check;
     }
 
     /**
@@ -177,9 +177,9 @@
      *
      * @param at the time on the loop's clock, in nanoseconds
      */
-    public void answerBy(long at) {
-        answersBy = at;
-        loop.after(at - loop.now(), () -> slots.all().forEach(Slot::giveUp));
+    public void endAnswersBy(long at) {
+        answersDueAt = at;
+        loop.after(at - loop.now(), () -> slots.all().forEach(Slot::fail));
     }
 
     /** Adds an observer, which is notified of each request that ends from now on. */
@@ -193,24 +193,24 @@
     }
 
     /** Sets what sends messages to other routers from now on; null to send none. */
-    public void talk(Peers by) {
-        peers = by;
+    public void setPeers(Peers changed) {
+        peers = changed;
     }
 
     /** Returns the number of requests that were accepted and have not ended, including streamed answers. */
     public int open() {
-        return slots.size() + streams;
+        return slots.size() + openStreams;
     }
 
     /** Returns the number of listed application servers to which no requests are sent at present. */
-    public int avoided() {
+    public int serversWithoutRequests() {
         return brain.avoided();
     }
 
     /** Passes an event to the decision module, after the event that is being handled, if any. */
     public void happened(Event event) {
         if (handling) {
-            happenings.add(() -> event);
+            pendingEvents.add(() -> event);
         } else {
             handle(event);
         }
@@ -219,21 +219,22 @@
     @Override
     public long arrived(Request request, Front front, long exchange) {
         long now = loop.now();
-        long ttl = Math.min(request.ttlNanos(), answersBy - now);
-        boolean ended = answersBy <= now;
+        long ttl = Math.min(request.ttlNanos(), answersDueAt - now);
+        boolean ended = answersDueAt <= now;
         if (!mayServe.getAsBoolean() || slots.isFull() || ended || heldBytes + request.valueBytes() > mostHeldBytes) {
             front.answer(
                     exchange,
                     new Answer.Unavailable(request.version().settings().limits().maxRetryAfterNanos()));
-            tell(request, Ending.UNAVAILABLE, 0);
+            notifyObservers(request, Ending.UNAVAILABLE, 0);
             return -1;
         }
         Slot slot = new Slot(request, front, exchange, now, ttl);
         long ticket = slots.add(slot);
         slot.ticket = ticket;
         heldBytes += request.valueBytes();
-        versions.begun(request.requestClass());
-        slot.overdue = loop.after(ttl + request.version().settings().rules().answerSlackNanos(), slot);
+        versions.requestStarted(request.requestClass());
+        slot.overdueTimer =
+                loop.after(ttl + request.version().settings().rules().answerSlackNanos(), slot);
         happened(new RequestArrived(
                 ticket,
                 Hash.of(request.key()),
@@ -251,7 +252,7 @@
         Slot slot = release(ticket);
         if (slot != null) {
             happened(new ClientGone(ticket));
-            ended(slot, why);
+            requestEnded(slot, why);
         }
     }
 
@@ -271,7 +272,7 @@
             finish(ticket, served);
         }
         if (handling) {
-            happenings.add(() -> attemptEnded(ticket, attempt, server, outcome, fetching, durationNanos));
+            pendingEvents.add(() -> attemptEnded(ticket, attempt, server, outcome, fetching, durationNanos));
         } else {
             handle(attemptEnded(ticket, attempt, server, outcome, fetching, durationNanos));
         }
@@ -291,11 +292,11 @@
             Event event = first;
             while (event != null) {
                 actions.clear();
-                brain.handle(loop.now(), event, collect);
+                brain.handle(loop.now(), event, collectAction);
                 for (Action action : actions) {
-                    carryOut(action);
+                    execute(action);
                 }
-                Supplier<Event> next = happenings.poll();
+                Supplier<Event> next = pendingEvents.poll();
                 event = next == null ? null : next.get();
             }
         } finally {
@@ -303,7 +304,7 @@
         }
     }
 
-    private void carryOut(Action action) {
+    private void execute(Action action) {
         if (action instanceof Send a) {
             send(a);
         } else if (action instanceof Cancel a) {
@@ -331,42 +332,43 @@
         Slot slot = slots.get(send.request());
         // Counted even if the attempt cannot be made, as the module numbers the attempts that it has asked for.
         int attempt = slot == null ? 0 : slot.attempts++;
-        long left = slot == null ? 0 : slot.deadline - loop.now();
-        if (left <= 0 || attempt >= slot.request.version().settings().limits().attempts()) {
+        long remainingNanos = slot == null ? 0 : slot.deadline - loop.now();
+        if (remainingNanos <= 0
+                || attempt >= slot.request.version().settings().limits().attempts()) {
             passEnded(send.request(), attempt, send.member(), Outcome.MOOT, false, null, 0);
             return;
         }
         slot.atOrigin = passes.isOrigin(send.member());
-        long timeout = send.timeoutNanos() == 0 ? left : Math.min(left, send.timeoutNanos());
+        long timeout = send.timeoutNanos() == 0 ? remainingNanos : Math.min(remainingNanos, send.timeoutNanos());
         passes.begin(send.request(), slot.request, attempt, send.member(), timeout, send.sentByNanos());
     }
 
     private void finish(long ticket, Answer answer) {
         Slot slot = release(ticket);
         if (slot != null && answer instanceof Answer.Streamed streamed) {
-            streams++;
+            openStreams++;
             Incoming value =
                     new ObservedStream(streamed.value(), slot.ending(answer), ending -> streamEnded(slot, ending));
             slot.front.answer(slot.exchange, new Answer.Streamed(value));
         } else if (slot != null) {
             slot.front.answer(slot.exchange, answer);
-            ended(slot, slot.ending(answer));
+            requestEnded(slot, slot.ending(answer));
         }
     }
 
     private void streamEnded(Slot slot, Ending ending) {
-        streams--;
-        ended(slot, ending);
+        openStreams--;
+        requestEnded(slot, ending);
     }
 
     /** Reports that a request has ended, and releases its class, whose slot stays reserved until then. */
-    private void ended(Slot slot, Ending ending) {
-        tell(slot.request, ending, slot.openFor(loop.now()));
-        versions.ended(slot.request.requestClass());
+    private void requestEnded(Slot slot, Ending ending) {
+        notifyObservers(slot.request, ending, slot.ageNanos(loop.now()));
+        versions.requestEnded(slot.request.requestClass());
     }
 
     /** Notifies the observers. An exception of an observer is logged here, so that it cannot affect requests. */
-    private void tell(Request request, Ending ending, long nanos) {
+    private void notifyObservers(Request request, Ending ending, long nanos) {
         for (RequestObserver observer : observers) {
             try {
                 observer.ended(request.requestClass(), request.tenant(), request.key(), ending, nanos);
@@ -379,7 +381,7 @@
     private Slot release(long ticket) {
         Slot slot = slots.remove(ticket);
         if (slot != null) {
-            loop.cancel(slot.overdue);
+            loop.cancel(slot.overdueTimer);
             passes.answered(ticket);
             heldBytes -= slot.request.valueBytes();
         }
--- a/src/main/java/slateseam/router/core/ObservedStream.java
+++ b/src/main/java/slateseam/router/core/ObservedStream.java
@@ -11,27 +11,27 @@
  */
 final class ObservedStream implements Incoming, Incoming.Taker {
     private final Incoming value;
-    private final Ending whole;
-    private Consumer<Ending> ended;
+    private final Ending endingIfComplete;
+    private Consumer<Ending> onEnd;
     private Taker taker;
 
     /**
      * Wraps a streamed value.
      *
-     * @param whole the ending of the request if the value is transferred completely
-     * @param ended called once with the ending of the request
+     * @param endingIfComplete the ending of the request if the value is transferred completely
+     * @param onEnd called once with the ending of the request
      */
-    ObservedStream(Incoming value, Ending whole, Consumer<Ending> ended) {
+    ObservedStream(Incoming value, Ending endingIfComplete, Consumer<Ending> onEnd) {
         this.value = value;
-        this.whole = whole;
-        this.ended = ended;
+        this.endingIfComplete = endingIfComplete;
+        this.onEnd = onEnd;
     }
 
-    private void end(Ending ending) {
-        Consumer<Ending> told = ended;
-        ended = null;
-        if (told != null) {
-            told.accept(ending);
+    private void reportOnce(Ending ending) {
+        Consumer<Ending> listener = onEnd;
+        onEnd = null;
+        if (listener != null) {
+            listener.accept(ending);
         }
     }
 
@@ -41,8 +41,8 @@
     }
 
     @Override
-    public void to(Taker by) {
-        taker = by;
+    public void to(Taker receiver) {
+        taker = receiver;
         value.to(this);
     }
 
@@ -53,7 +53,7 @@
 
     @Override
     public void stop() {
-        end(Ending.LEFT);
+        reportOnce(Ending.LEFT);
         value.stop();
     }
 
@@ -69,13 +69,13 @@
 
     @Override
     public void whole() {
-        end(whole);
+        reportOnce(endingIfComplete);
         taker.whole();
     }
 
     @Override
     public void cut() {
-        end(Ending.FAILED);
+        reportOnce(Ending.FAILED);
         taker.cut();
     }
 }
--- a/src/main/java/slateseam/router/lifecycle/Lifecycle.java
+++ b/src/main/java/slateseam/router/lifecycle/Lifecycle.java
@@ -106,8 +106,8 @@
     }
 
     /** Sets a check; while it returns false, PING fails, so that user agents with other routers use those. */
-    public void gate(BooleanSupplier may) {
-        mayServe = may;
+    public void setServingCheck(BooleanSupplier check) {
+        mayServe = check;
     }
 
     /** Returns whether a connection is kept open after its answer. */
--- a/src/main/java/slateseam/router/multiget/MultiGet.java
+++ b/src/main/java/slateseam/router/multiget/MultiGet.java
@@ -22,32 +22,32 @@
  */
 public final class MultiGet implements Dialect {
     /** The number of items in the command that begins a batch: its name and the number of reads. */
-    private static final int HEAD_ITEMS = 2;
+    private static final int HEADER_ITEMS = 2;
 
     private final Loop loop;
     private final Requests requests;
     private final Lifecycle lifecycle;
-    private final int mostKeys;
-    private final long mostHeldBytes;
-    private final Answer noRoom;
+    private final int maxKeys;
+    private final long maxHeldBytes;
+    private final Answer busy;
     private long heldBytes;
 
     /**
      * Creates the dialect.
      *
-     * @param mostKeys the maximum number of reads in a batch
+     * @param maxKeys the maximum number of reads in a batch
      * @param retryAfterNanos the advised wait before a retry, for a read whose value did not fit into the bound below
-     * @param mostHeldBytes the maximum size of the values that all batches together hold until their replies are
+     * @param maxHeldBytes the maximum size of the values that all batches together hold until their replies are
      *     complete
      */
     public MultiGet(
-            Loop loop, Requests requests, Lifecycle lifecycle, int mostKeys, long retryAfterNanos, long mostHeldBytes) {
+            Loop loop, Requests requests, Lifecycle lifecycle, int maxKeys, long retryAfterNanos, long maxHeldBytes) {
         this.loop = loop;
         this.requests = requests;
         this.lifecycle = lifecycle;
-        this.mostKeys = mostKeys;
-        this.mostHeldBytes = mostHeldBytes;
-        this.noRoom = new Answer.Unavailable(retryAfterNanos);
+        this.maxKeys = maxKeys;
+        this.maxHeldBytes = maxHeldBytes;
+        this.busy = new Answer.Unavailable(retryAfterNanos);
     }
 
     @Override
@@ -58,7 +58,7 @@
     private final class Batch extends Exchange {
         private final List<Element> elements = new ArrayList<>();
         private int expected;
-        private int settled;
+        private int settledElements;
         private long held;
 
         Batch(Runnable ready) {
@@ -70,7 +70,7 @@
             if (!isWhole()) {
                 Element element = new Element(this);
                 elements.add(element);
-                element.ask(command);
+                element.submit(command);
                 return;
             }
             String name = Commands.name(command);
@@ -89,9 +89,9 @@
 
         /** Reads the batch size. An invalid size is a protocol error, as the end of the batch would be unknown. */
         private int number(List<ByteBuffer> command) throws MalformedException {
-            int number = command.size() == HEAD_ITEMS ? Bytes.number(Bytes.text(command.get(1))) : -1;
-            if (number < 0 || number > mostKeys) {
-                throw new MalformedException("SLATE.MGET takes one number, at most " + mostKeys);
+            int number = command.size() == HEADER_ITEMS ? Bytes.number(Bytes.text(command.get(1))) : -1;
+            if (number < 0 || number > maxKeys) {
+                throw new MalformedException("SLATE.MGET takes one number, at most " + maxKeys);
             }
             return number;
         }
@@ -129,24 +129,24 @@
          */
         Answer hold(Answer answer) {
             int bytes = answer instanceof Answer.Served served ? served.value().length : 0;
-            if (heldBytes + bytes > mostHeldBytes) {
-                return noRoom;
+            if (heldBytes + bytes > maxHeldBytes) {
+                return busy;
             }
             heldBytes += bytes;
             held += bytes;
             return answer;
         }
 
-        void settled() {
-            if (++settled < expected) {
+        void elementSettled() {
+            if (++settledElements < expected) {
                 return;
             }
-            boolean whole = elements.stream().allMatch(e -> e.served);
-            List<ByteBuffer> all = new ArrayList<>();
-            all.add(ByteBuffer.wrap(
-                    Bytes.of("*" + (expected + 1) + "\r\n" + (whole ? "$5\r\nwhole\r\n" : "$7\r\npartial\r\n"))));
-            elements.forEach(e -> all.addAll(List.of(e.answer)));
-            finish(all.toArray(new ByteBuffer[0]));
+            boolean allServed = elements.stream().allMatch(e -> e.served);
+            List<ByteBuffer> reply = new ArrayList<>();
+            reply.add(ByteBuffer.wrap(
+                    Bytes.of("*" + (expected + 1) + "\r\n" + (allServed ? "$5\r\nwhole\r\n" : "$7\r\npartial\r\n"))));
+            elements.forEach(e -> reply.addAll(List.of(e.answer)));
+            finish(reply.toArray(new ByteBuffer[0]));
         }
     }
 
@@ -155,20 +155,20 @@
         private final Batch batch;
         private ByteBuffer[] answer;
         private boolean served;
-        private Deadline limit;
+        private Deadline timer;
 
         Element(Batch batch) {
             this.batch = batch;
         }
 
-        void ask(List<ByteBuffer> command) {
+        void submit(List<ByteBuffer> command) {
             ByteBuffer[] error = Commands.name(command).equals("CACHE.GET")
                     ? requests.take(command, false, this)
                     : Replies.line("-ERR not a CACHE.GET");
             if (error != null) {
                 settle(error);
             } else if (answer == null) {
-                limit = loop.after(waitNanos(), this::timedOut);
+                timer = loop.after(waitNanos(), this::timedOut);
             }
         }
 
@@ -189,14 +189,14 @@
         }
 
         void withdraw() {
-            loop.cancel(limit);
+            loop.cancel(timer);
             requests.withdraw(this, Ending.LEFT);
         }
 
         private void settle(ByteBuffer... bytes) {
-            loop.cancel(limit);
+            loop.cancel(timer);
             answer = bytes;
-            batch.settled();
+            batch.elementSettled();
         }
     }
 }
--- a/src/main/java/slateseam/router/request/Facts.java
+++ b/src/main/java/slateseam/router/request/Facts.java
@@ -11,19 +11,19 @@
 
     /** Returns the value of a name; null if the list does not contain the name. */
     public static String value(byte[] facts, char name) {
-        int at = find(facts, name);
-        return at < 0 ? null : new String(facts, at, end(facts, at) - at, StandardCharsets.ISO_8859_1);
+        int at = valueStart(facts, name);
+        return at < 0 ? null : new String(facts, at, valueEnd(facts, at) - at, StandardCharsets.ISO_8859_1);
     }
 
     /**
      * Returns the list with the remaining time replaced, in milliseconds; the same list if it contains no such time.
      */
     public static byte[] withTimeLeft(byte[] facts, long millis) {
-        int at = find(facts, 'd');
+        int at = valueStart(facts, 'd');
         if (at < 0) {
             return facts;
         }
-        int end = end(facts, at);
+        int end = valueEnd(facts, at);
         byte[] digits = Long.toString(millis).getBytes(StandardCharsets.US_ASCII);
         byte[] changed = new byte[at + digits.length + facts.length - end];
         System.arraycopy(facts, 0, changed, 0, at);
@@ -33,8 +33,8 @@
     }
 
     /** Returns the index at which the value of a name begins; -1 if the list does not contain the name. */
-    private static int find(byte[] facts, char name) {
-        for (int i = 0; i + 1 < facts.length; i = end(facts, i) + 1) {
+    private static int valueStart(byte[] facts, char name) {
+        for (int i = 0; i + 1 < facts.length; i = valueEnd(facts, i) + 1) {
             if (facts[i] == name && facts[i + 1] == '=') {
                 return i + 2;
             }
@@ -42,7 +42,7 @@
         return -1;
     }
 
-    private static int end(byte[] facts, int from) {
+    private static int valueEnd(byte[] facts, int from) {
         int end = from;
         while (end < facts.length && facts[end] != ',') {
             end++;
--- a/src/main/java/slateseam/router/request/Versions.java
+++ b/src/main/java/slateseam/router/request/Versions.java
@@ -14,7 +14,7 @@
  */
 public final class Versions {
     private final List<String> names = new ArrayList<>();
-    private final List<Integer> open = new ArrayList<>();
+    private final List<Integer> openRequests = new ArrayList<>();
     private Version current;
 
     /** Creates the first version from the settings at startup. */
@@ -39,18 +39,18 @@
      * @return the new version
      */
     public Version adopt(Settings changed) {
-        Settings was = current.settings();
+        Settings previous = current.settings();
         Settings now = new Settings(
-                was.me(),
-                was.routers(),
-                was.zone(),
-                was.tickNanos(),
-                was.askedDiscovery(),
-                was.mode(),
-                was.originKind(),
+                previous.me(),
+                previous.routers(),
+                previous.zone(),
+                previous.tickNanos(),
+                previous.askedDiscovery(),
+                previous.mode(),
+                previous.originKind(),
                 changed.overShareWorth(),
                 changed.classes(),
-                was.tenants(),
+                previous.tenants(),
                 changed.limits(),
                 changed.rules());
         current = new Version(now, slots(now));
@@ -58,28 +58,28 @@
     }
 
     /** Counts a request of the class in the given slot as open. */
-    public void begun(int slot) {
-        open.set(slot, open.get(slot) + 1);
+    public void requestStarted(int slot) {
+        openRequests.set(slot, openRequests.get(slot) + 1);
     }
 
     /** Counts a request of the class in the given slot as ended. */
-    public void ended(int slot) {
-        open.set(slot, open.get(slot) - 1);
+    public void requestEnded(int slot) {
+        openRequests.set(slot, openRequests.get(slot) - 1);
     }
 
     private List<Integer> slots(Settings settings) {
-        List<String> wanted =
+        List<String> listed =
                 settings.classes().stream().map(RequestClass::name).toList();
         List<Integer> slots = new ArrayList<>();
-        for (String name : wanted) {
+        for (String name : listed) {
             int slot = names.indexOf(name);
             for (int i = 0; slot < 0 && i < names.size(); i++) {
-                slot = open.get(i) == 0 && !wanted.contains(names.get(i)) ? i : -1;
+                slot = openRequests.get(i) == 0 && !listed.contains(names.get(i)) ? i : -1;
             }
             if (slot < 0) {
                 slot = names.size();
                 names.add(name);
-                open.add(0);
+                openRequests.add(0);
             }
             names.set(slot, name);
             slots.add(slot);
--- a/src/test/java/slateseam/router/request/VersionsTest.java
+++ b/src/test/java/slateseam/router/request/VersionsTest.java
@@ -11,6 +11,7 @@
 import slateseam.decision.Api.Settings;
 import slateseam.router.config.NodeConfig;
 
+/** Guards the slots of request classes across reloads: no slot is reused while requests of its class are open. */
 class VersionsTest {
     private final Settings start =
             NodeConfig.parse(Files.readString(Path.of("examples/config.json"))).settings();
@@ -40,10 +41,10 @@
     @Test
     void aSlotIsGivenAwayOnlyWhenItsClassWasDroppedAndItsLastRequestHasEnded() {
         assertThat(versions.names()).containsExactly("read", "put", "once");
-        versions.begun(1);
+        versions.requestStarted(1);
         assertThat(adopt("once", "read", "more").slots()).containsExactly(2, 0, 3);
         assertThat(versions.names()).as("put has a request").containsExactly("read", "put", "once", "more");
-        versions.ended(1);
+        versions.requestEnded(1);
         assertThat(adopt("further", "once", "read", "more").slots()).containsExactly(1, 2, 0, 3);
         assertThat(versions.names()).containsExactly("read", "further", "once", "more");
     }
@@ -56,7 +57,7 @@
         assertThat(versions.names()).hasSize(3);
     }
 
-    /** The ring's messages and the farm's numbers depend on these. */
+    /** The messages of the ring and the numbering of the farm depend on the routers and tenants. */
     @Test
     void whoTheRoutersAndTenantsAreStays() {
         Settings now = adopt("read").settings();
--- a/src/test/java/slateseam/simulate/PlantedBug.java
+++ b/src/test/java/slateseam/simulate/PlantedBug.java
@@ -130,7 +130,7 @@
                         List.of(change(
                                 ROUTER + "Router",
                                 "used = changed;",
-                                "used = changed;\n        core.gate(() -> false);"))),
+                                "used = changed;\n        core.setServingCheck(() -> false);"))),
                 new PlantedBug(
                         "closes at once in a planned end",
                         "restart",
@@ -143,8 +143,8 @@
                         List.of(
                                 change(
                                         ROUTER + "core/Core",
-                                        "left <= 0 || attempt >= slot.request.version().settings().limits().attempts()",
-                                        "left <= 0"),
+                                        "remainingNanos <= 0 || attempt >= slot.request.version().settings().limits().attempts()",
+                                        "remainingNanos <= 0"),
                                 change(JOB, "return attempts + times <= most;", "return true;"))),
                 new PlantedBug(
                         "loses its place where a message is split",
--- a/src/test/java/slateseam/simulate/RulesModelTest.java
+++ b/src/test/java/slateseam/simulate/RulesModelTest.java
@@ -54,8 +54,8 @@
                         "ATTEMPTS",
                         change(
                                 "router/core/Core",
-                                "left <= 0 || attempt >= slot.request.version().settings().limits().attempts()",
-                                "left <= 0 || attempt > 4"),
+                                "remainingNanos <= 0 || attempt >= slot.request.version().settings().limits().attempts()",
+                                "remainingNanos <= 0 || attempt > 4"),
                         change(
                                 "decision/Job",
                                 "return attempts + times <= most;",
