--- a/src/test/java/slateseam/router/CommandsAtOnceTest.java
+++ b/src/test/java/slateseam/router/CommandsAtOnceTest.java
@@ -15,12 +15,15 @@
 import slateseam.router.net.Log;
 import slateseam.router.net.Reader;
 
-/** A user agent that sends very many commands at once, and what others notice of that, in rounds of the loop. */
+/**
+ * Guards against a user agent that pipelines thousands of commands on one connection and so delays the other
+ * connections: each round of the loop must answer only a bounded number of commands of a connection.
+ */
 class CommandsAtOnceTest {
     private static final int COMMANDS = 3_000;
-    private static final int MOST_A_ROUND = 64;
+    private static final int MAX_ANSWERS_PER_ROUND = 64;
     private static final String PONG = "+PONG\r\n";
-    private static final int MOST_ROUNDS = 5_000;
+    private static final int MAX_ROUNDS = 5_000;
 
     private final Console console = new Console("n0", new Reader());
     private long now = 1_000_000_000_000L * 1_000_000L;
@@ -30,7 +33,7 @@
                 .replaceAll("\\{(s1|origin|discovery)}", "127.0.0.1:1");
         Router router = new Router(
                 NodeConfig.parse(config), Features.OFF, () -> now, new Log("n0", () -> now, console), console);
-        for (int i = 0; !router.listens() && i < MOST_ROUNDS; i++) {
+        for (int i = 0; !router.listens() && i < MAX_ROUNDS; i++) {
             router.loop().round(1_000_000);
         }
         return router;
@@ -46,9 +49,11 @@
 
     private static int answers(SocketChannel channel) throws Exception {
         ByteBuffer in = ByteBuffer.allocate(COMMANDS * PONG.length());
-        int come = channel.read(in);
-        assertThat(come % PONG.length()).as("whole answers in %s bytes", come).isZero();
-        return come / PONG.length();
+        int received = channel.read(in);
+        assertThat(received % PONG.length())
+                .as("whole answers in %s bytes", received)
+                .isZero();
+        return received / PONG.length();
     }
 
     @Test
@@ -64,13 +69,15 @@
             many.write(commands);
             assertThat(commands.hasRemaining()).isFalse();
             int answered = 0;
-            for (int i = 0; answered < COMMANDS && i < MOST_ROUNDS; i++) {
+            for (int i = 0; answered < COMMANDS && i < MAX_ROUNDS; i++) {
                 router.loop().round(0);
                 answered += answers(many);
-                assertThat(answered).as("answers within %s rounds", i + 1).isLessThanOrEqualTo((i + 1) * MOST_A_ROUND);
+                assertThat(answered)
+                        .as("answers within %s rounds", i + 1)
+                        .isLessThanOrEqualTo((i + 1) * MAX_ANSWERS_PER_ROUND);
             }
             assertThat(answered).isEqualTo(COMMANDS);
-            // The connection is like any other afterwards.
+            // Another connection is served normally afterwards.
             one.write(ByteBuffer.wrap("*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII)));
             for (int i = 0; i < 10; i++) {
                 router.loop().round(0);
--- a/src/test/java/slateseam/router/multiget/MultiGetTest.java
+++ b/src/test/java/slateseam/router/multiget/MultiGetTest.java
@@ -25,10 +25,13 @@
 import slateseam.router.useragent.Exchange;
 import slateseam.router.useragent.Requests;
 
-/** What the module and the origin hardly ever do: leave requests without an answer, or bring many long values at once. */
+/**
+ * Covers two rare cases of a batch: reads that get no answer in time must time out one by one, and many long values
+ * that wait for the slowest read must not fill the heap.
+ */
 class MultiGetTest {
     private static final long MILLI = 1_000_000L;
-    private static final int MANY = 64;
+    private static final int MAX_KEYS = 64;
 
     private final List<Long> asked = new ArrayList<>();
     private final List<Long> left = new ArrayList<>();
@@ -50,7 +53,7 @@
             new Versions(NodeConfig.parse(Files.readString(Path.of("examples/config.json")))
                     .settings()),
             1_000);
-    private final MultiGet multiGet = new MultiGet(loop, requests, new Lifecycle(), MANY, 2_000 * MILLI, 10_000);
+    private final MultiGet multiGet = new MultiGet(loop, requests, new Lifecycle(), MAX_KEYS, 2_000 * MILLI, 10_000);
 
     MultiGetTest() throws Exception {}
 
@@ -97,14 +100,15 @@
 
     @Test
     void manyLongValuesThatWaitForTheSlowestOfTheirBatchAreBounded() throws Exception {
-        int[] waits = new int[MANY];
+        int[] waits = new int[MAX_KEYS];
         Arrays.fill(waits, 480);
         Exchange first = begin(waits);
-        for (int i = 0; i < MANY; i++) {
+        for (int i = 0; i < MAX_KEYS; i++) {
             serve(i, 1_000);
         }
         assertThat(text(first)).startsWith("*65\r\n$7\r\npartial\r\n$1000\r\n").endsWith("-BUSY 2000\r\n".repeat(54));
-        // What one batch holds is not there for another, until it goes out or is given up.
+        // Values held by one batch reduce the room for others until its reply is handed over or the batch is
+        // withdrawn.
         Exchange second = begin(480, 480);
         serve(0, 1);
         first.handedOver();
