--- a/src/main/java/slateseam/router/Parts.java
+++ b/src/main/java/slateseam/router/Parts.java
@@ -34,9 +34,16 @@
 import slateseam.router.useragent.RespFront;
 import slateseam.tier.policy.PolicyPort;
 
-/** The parts of one router that its settings turn on, in the order in which they are told of things. */
+/** The optional parts of one router that its settings turn on, in the order in which they are called. */
 final class Parts {
-    /** What a part may use of the router that it belongs to; names and console are null where no feature is on. */
+    /**
+     * What a part may use of its router.
+     *
+     * @param names null if no feature is on
+     * @param console null if no feature is on
+     * @param sharesAddress whether another process of this router may listen at the same address
+     * @param adopt puts settings into force
+     */
     record Base(
             NodeConfig config,
             Features features,
@@ -49,30 +56,30 @@
             ServiceCounts served,
             Names names,
             Console console,
-            boolean several,
+            boolean sharesAddress,
             Consumer<NodeConfig> adopt) {}
 
     private final List<Part> all = new ArrayList<>();
-    /** Null where nobody calls. */
+    /** Null if the configuration has no control address. */
     private final Control control;
-    /** Null where it is off. */
+    /** Null if the shared policy is off. */
     private final SharedPolicy policy;
 
     /**
-     * Puts them together; none does anything yet but to listen.
+     * Creates the parts. Some open their listeners, but no part starts before {@link #begin}.
      *
-     * @param told what tells this router the farm
-     * @param upgrade null where no other process of this router ever runs
+     * @param farmSource the source of the farm of this router
+     * @param upgrade null if no other process of this router ever runs
      */
-    Parts(Base base, ToldFarm told, Upgrade upgrade) throws IOException {
+    Parts(Base base, ConfiguredFarmSource farmSource, Upgrade upgrade) throws IOException {
         Features features = base.features();
         control = base.config().control() == null ? null : control(base);
         Counts counts = features.figures() == null ? null : counts(base);
         add(features.hotList() == null ? null : hotList(base));
         add(counts == null ? null : figures(base, counts));
         add(features.tap() == null ? null : tap(base));
-        add(control == null ? null : calls(control));
-        add(farm(told));
+        add(control == null ? null : controlPart(control));
+        add(farm(farmSource));
         Tier tier = features.tier() == null
                 ? null
                 : new Tier(features.tier(), base.config(), base.loop(), base.core()::happened);
@@ -93,15 +100,17 @@
         add(upgrade == null ? null : handover(upgrade));
         for (Part part : all) {
             if (counts != null) {
-                part.count(counts);
+                part.addCounts(counts);
             }
             if (control != null) {
-                part.answer(control);
+                part.addCalls(control);
             }
         }
     }
 
-    /** Descriptors that they hold at the most, beside connections that count as user agents'. */
+    /**
+     * Returns the maximum number of descriptors that the parts hold, besides connections that count as user agents'.
+     */
     static int descriptors(NodeConfig config, Features features, Handover handover) {
         return features.descriptors()
                 + (config.control() == null ? 0 : Control.DESCRIPTORS)
@@ -138,8 +147,8 @@
             }
 
             @Override
-            public void retune(NodeConfig changed) {
-                figures.flushWhole(); // what was counted so far stands under the names that it came with
+            public void settingsChanged(NodeConfig changed) {
+                figures.flushWhole(); // counts up to now belong to the old names
             }
 
             @Override
@@ -155,7 +164,7 @@
                 features.tap(),
                 base.loop(),
                 Features.beside(base.config().listen(), features.tap().port()),
-                base.several(),
+                base.sharesAddress(),
                 base.names(),
                 base.console(),
                 base.config().seed());
@@ -177,7 +186,7 @@
         };
     }
 
-    private static Part calls(Control control) {
+    private static Part controlPart(Control control) {
         return new Part() {
             @Override
             public void close() throws IOException {
@@ -186,11 +195,11 @@
         };
     }
 
-    private static Part farm(ToldFarm told) {
+    private static Part farm(ConfiguredFarmSource farmSource) {
         return new Part() {
             @Override
             public void stop() {
-                told.close();
+                farmSource.close();
             }
         };
     }
@@ -198,18 +207,19 @@
     private static Part tier(Tier tier) {
         return new Part() {
             @Override
-            public void talk(Peers peers) {
-                tier.talk(
-                        peers); // null: the other process speaks for this router, as it is one member, in its next life
+            public void setPeers(Peers peers) {
+                // Null once another process has taken over: that process is the same member, with a newer
+                // incarnation.
+                tier.talk(peers);
             }
 
             @Override
-            public void count(Counts counts) {
+            public void addCounts(Counts counts) {
                 tier.count(counts);
             }
 
             @Override
-            public void answer(Control calls) {
+            public void addCalls(Control calls) {
                 calls.on("GET", "/tier", () -> Reply.json(tier.json().toString()));
             }
 
@@ -221,35 +231,38 @@
     }
 
     private static Part policy(SharedPolicy policy, Base base) {
-        base.core().gate(policy::mayServe);
-        base.lifecycle().gate(policy::mayServe);
+        base.core().setServingCheck(policy::mayServe);
+        base.lifecycle().setServingCheck(policy::mayServe);
         return new Part() {
             @Override
-            public void talk(Peers peers) {
+            public void setPeers(Peers peers) {
                 policy.talk(peers);
             }
 
             @Override
-            public void count(Counts counts) {
+            public void addCounts(Counts counts) {
                 policy.count(counts);
             }
 
             @Override
-            public void answer(Control calls) {
+            public void addCalls(Control calls) {
                 calls.on("GET", "/policy", () -> Reply.json(policy.json().toString()))
-                        .on("POST", "/policy/begin", () -> said(policy.begin()))
-                        .on("POST", "/policy/propose", () -> said(policy.propose()))
-                        .on("POST", "/policy/undo", () -> said(policy.undo()));
+                        .on("POST", "/policy/begin", () -> reply(policy.begin()))
+                        .on("POST", "/policy/propose", () -> reply(policy.propose()))
+                        .on("POST", "/policy/undo", () -> reply(policy.undo()));
             }
         };
     }
 
-    private static Reply said(String fault) {
+    private static Reply reply(String fault) {
         return fault == null ? Reply.yes("it is asked for") : Reply.no(fault);
     }
 
-    /** What the router is to run by where its own file is this: with the tier's policy laid over it. */
-    NodeConfig over(NodeConfig own) throws InvalidConfigException {
+    /**
+     * Returns the effective configuration: the given configuration of this router, overlaid with the policy of the
+     * tier.
+     */
+    NodeConfig withPolicy(NodeConfig own) throws InvalidConfigException {
         return policy == null ? own : policy.over(own);
     }
 
@@ -308,51 +321,53 @@
         return counts;
     }
 
-    /** All begin. */
+    /** Starts all parts. */
     void begin() throws IOException {
         for (Part part : all) {
             part.begin();
         }
     }
 
-    /** Datagrams come and go by these; null once another process speaks for this router. */
-    void talk(Peers peers) {
-        all.forEach(part -> part.talk(peers));
+    /**
+     * Sets what sends and receives datagrams; null once another process of this router has taken over the messages.
+     */
+    void setPeers(Peers peers) {
+        all.forEach(part -> part.setPeers(peers));
     }
 
-    /** New settings are in force. */
-    void retune(NodeConfig changed) {
-        all.forEach(part -> part.retune(changed));
+    /** Notifies the parts that new settings have been put into force. */
+    void settingsChanged(NodeConfig changed) {
+        all.forEach(part -> part.settingsChanged(changed));
     }
 
-    /** A planned end has begun. */
+    /** Closes the listeners of the parts during a planned shutdown. */
     void close() throws IOException {
         for (Part part : all) {
             part.close();
         }
     }
 
-    /** The last that is heard of this router. */
+    /** Stops all parts, just before the router stops. */
     void stop() {
         all.forEach(Part::stop);
     }
 
-    /** Operators have asked the process to show what it holds. */
+    /** Shows the present state of the parts, on request of the operators. */
     void show() {
         all.forEach(Part::show);
     }
 
-    /** Who is told of requests that end. */
+    /** Returns the observers of requests that end. */
     List<RequestObserver> observers() {
         return all.stream().map(Part::observer).filter(Objects::nonNull).toList();
     }
 
-    /** Where those call who operate it, if anybody does. */
+    /** Returns the control address; may be called only if the configuration has one. */
     InetSocketAddress controlAddress() throws IOException {
         return control.address();
     }
 
-    /** Where the part listens that does so beside the program's own listeners. */
+    /** Returns the address of the first part that has a listener of its own; null if there is none. */
     InetSocketAddress address() throws IOException {
         for (Part part : all) {
             if (part.address() != null) {
--- a/src/main/java/slateseam/router/core/Core.java
+++ b/src/main/java/slateseam/router/core/Core.java
@@ -46,43 +46,49 @@
 import slateseam.router.request.RequestObserver;
 import slateseam.router.request.Versions;
 
-/** The requests that are owed an answer. Turns happenings into events and carries out actions; decides nothing. */
+/**
+ * Holds the requests that still await their final answer. Translates what happens in the router into events for the
+ * decision module and carries out the actions that the module returns; the core itself makes no decision.
+ */
 public final class Core implements PassListener, Intake {
-    /** A request that is owed its final answer. */
+    /** A request that awaits its final answer. */
     private final class Slot implements Runnable {
         final Request request;
         final Front front;
         final long exchange;
-        final long begunAt;
+        final long arrivedAt;
         final long deadline;
         long ticket;
-        Deadline overdue;
+        Deadline overdueTimer;
         int attempts;
-        /** Whether its last attempt went to the origin. */
+        /** Whether the latest attempt of this request went to the origin. */
         boolean atOrigin;
 
-        Slot(Request request, Front front, long exchange, long begunAt, long ttlNanos) {
+        Slot(Request request, Front front, long exchange, long arrivedAt, long ttlNanos) {
             this.request = request;
             this.front = front;
             this.exchange = exchange;
-            this.begunAt = begunAt;
-            this.deadline = begunAt + ttlNanos;
+            this.arrivedAt = arrivedAt;
+            this.deadline = arrivedAt + ttlNanos;
         }
 
-        /** Guards the rule that every request gets its answer in time, should the module ever leave one out. */
+        /**
+         * Fails the request when its answer is overdue, so that a fault of the module cannot leave a request
+         * unanswered.
+         */
         @Override
         public void run() {
-            loop.log().line("overdue", "the module left a request without an answer");
-            giveUp();
+            loop.log().line("overdue", "the decision module left a request without an answer; the request fails");
+            fail();
         }
 
-        void giveUp() {
+        void fail() {
             finish(ticket, new Answer.Failed());
             happened(new ClientGone(ticket));
         }
 
-        long openFor(long now) {
-            return now - begunAt;
+        long ageNanos(long now) {
+            return now - arrivedAt;
         }
 
         Ending ending(Answer answer) {
@@ -97,43 +103,61 @@
     private final Versions versions;
     private final Brain brain;
     private final Slots<Slot> slots;
-    /** What has happened while an event is handled: an action may make something happen at once. */
-    private final Queue<Supplier<Event>> happenings = new ArrayDeque<>();
-    /** That answer the event being handled. */
+    /** Events that arose while another event was being handled: an action may cause a further event immediately. */
+    private final Queue<Supplier<Event>> pendingEvents = new ArrayDeque<>();
+    /** The actions that the module returned for the event being handled. */
     private final List<Action> actions = new ArrayList<>();
 
-    private final Consumer<Action> collect = actions::add;
+    private final Consumer<Action> collectAction = actions::add;
     private final List<RequestObserver> observers = new ArrayList<>();
     private BooleanSupplier mayServe = () -> true;
     private boolean handling;
-    /** When this process may be killed: every answer is out before that. */
-    private long answersBy = Long.MAX_VALUE;
-    /** Of values to be written, so that they cannot fill the heap. */
+    /**
+     * The time on the loop's clock, in nanoseconds, by which every answer must be sent; the process may be killed
+     * after it.
+     */
+    private long answersDueAt = Long.MAX_VALUE;
+    /** The maximum total size of the values of open writes, so that they cannot fill the heap. */
     private final long mostHeldBytes;
 
     private long heldBytes;
-    /** Long answers on their way to user agents. */
-    private int streams;
+    /** The number of streamed answers that are still being sent to user agents. */
+    private int openStreams;
 
     private Passes passes;
     private Peers peers;
     private FarmSource source;
 
-    /** Creates the core of a router that holds at most so many requests. */
-    public Core(Loop loop, Versions versions, long seed, int mostHeld) {
-        this(loop, versions, seed, mostHeld, SupplyLinks.OFF);
+    /**
+     * Creates the core of a router that exchanges supply with its ring neighbours only.
+     *
+     * @param maxRequests the maximum number of requests that are open at once
+     */
+    public Core(Loop loop, Versions versions, long seed, int maxRequests) {
+        this(loop, versions, seed, maxRequests, SupplyLinks.OFF);
     }
 
-    /** The same of one that exchanges supply beyond its ring neighbours. */
-    public Core(Loop loop, Versions versions, long seed, int mostHeld, SupplyLinks links) {
+    /**
+     * Creates the core of a router that may also exchange supply beyond its ring neighbours.
+     *
+     * @param maxRequests the maximum number of requests that are open at once
+     * @param links the routers with which supply is exchanged in addition to the ring neighbours
+     */
+    public Core(Loop loop, Versions versions, long seed, int maxRequests, SupplyLinks links) {
         this.loop = loop;
         this.versions = versions;
         this.brain = new Brain(versions.current().settings(), seed, links);
-        this.slots = new Slots<>(mostHeld);
+        this.slots = new Slots<>(maxRequests);
         this.mostHeldBytes = loop.heapBytes() / 8;
     }
 
-    /** Begins, with those who carry actions out; {@code peers} is null where routers do not talk. */
+    /**
+     * Starts the decision module.
+     *
+     * @param passes carries out the attempts at servers
+     * @param peers sends messages to other routers; null if this router exchanges none
+     * @param source reports the members of the farm
+     */
     public void start(Passes passes, Peers peers, FarmSource source) {
         this.passes = passes;
         this.peers = peers;
@@ -141,49 +165,52 @@
         happened(new Started());
     }
 
-    /** Requests are turned away at once, with a time to come back, while this says no. */
-    public void gate(BooleanSupplier may) {
-        mayServe = may;
+    /** Sets a check; while it returns false, each new request is refused at once with a retry-after time. */
+    public void setServingCheck(BooleanSupplier check) {
+        mayServe = check;
     }
 
     /**
-     * Every answer is out by then: what comes from now on has no more time than that, and what came before is given up then.
-     * Guards what a process that is told to end still takes: it is killed a while later.
+     * Sets the time by which every answer is sent. Requests that arrive from now on get a deadline no later than that
+     * time, and requests that are still open then fail. A process that has been told to end still accepts requests,
+     * and it is killed some time later; without this limit such requests would be left without an answer.
+     *
+     * @param at the time on the loop's clock, in nanoseconds
      */
-    public void answerBy(long at) {
-        answersBy = at;
-        loop.after(at - loop.now(), () -> slots.all().forEach(Slot::giveUp));
+    public void endAnswersBy(long at) {
+        answersDueAt = at;
+        loop.after(at - loop.now(), () -> slots.all().forEach(Slot::fail));
     }
 
-    /** Tells an observer of each request that ends from now on. */
+    /** Adds an observer, which is notified of each request that ends from now on. */
     public void observe(RequestObserver observer) {
         observers.add(observer);
     }
 
-    /** Other settings are in force: what comes from now on comes with them. */
+    /** Puts new settings into force; requests that arrive from now on use them. */
     public void retune(Settings settings) {
         happened(new Retuned(versions.adopt(settings).settings()));
     }
 
-    /** Other routers are talked to by this from now on; null for not at all. */
-    public void talk(Peers by) {
-        peers = by;
+    /** Sets what sends messages to other routers from now on; null to send none. */
+    public void setPeers(Peers changed) {
+        peers = changed;
     }
 
-    /** How many requests were taken and have not ended. */
+    /** Returns the number of requests that were accepted and have not ended, including streamed answers. */
     public int open() {
-        return slots.size() + streams;
+        return slots.size() + openStreams;
     }
 
-    /** How many listed caches get nothing now. */
-    public int avoided() {
+    /** Returns the number of listed application servers to which no requests are sent at present. */
+    public int serversWithoutRequests() {
         return brain.avoided();
     }
 
-    /** Something happened that concerns no request. */
+    /** Passes an event to the decision module, after the event that is being handled, if any. */
     public void happened(Event event) {
         if (handling) {
-            happenings.add(() -> event);
+            pendingEvents.add(() -> event);
         } else {
             handle(event);
         }
@@ -192,21 +219,22 @@
     @Override
     public long arrived(Request request, Front front, long exchange) {
         long now = loop.now();
-        long ttl = Math.min(request.ttlNanos(), answersBy - now);
-        boolean ended = answersBy <= now;
+        long ttl = Math.min(request.ttlNanos(), answersDueAt - now);
+        boolean ended = answersDueAt <= now;
         if (!mayServe.getAsBoolean() || slots.isFull() || ended || heldBytes + request.valueBytes() > mostHeldBytes) {
             front.answer(
                     exchange,
                     new Answer.Unavailable(request.version().settings().limits().maxRetryAfterNanos()));
-            tell(request, Ending.UNAVAILABLE, 0);
+            notifyObservers(request, Ending.UNAVAILABLE, 0);
             return -1;
         }
         Slot slot = new Slot(request, front, exchange, now, ttl);
         long ticket = slots.add(slot);
         slot.ticket = ticket;
         heldBytes += request.valueBytes();
-        versions.begun(request.requestClass());
-        slot.overdue = loop.after(ttl + request.version().settings().rules().answerSlackNanos(), slot);
+        versions.requestStarted(request.requestClass());
+        slot.overdueTimer =
+                loop.after(ttl + request.version().settings().rules().answerSlackNanos(), slot);
         happened(new RequestArrived(
                 ticket,
                 Hash.of(request.key()),
@@ -224,7 +252,7 @@
         Slot slot = release(ticket);
         if (slot != null) {
             happened(new ClientGone(ticket));
-            ended(slot, why);
+            requestEnded(slot, why);
         }
     }
 
@@ -244,13 +272,15 @@
             finish(ticket, served);
         }
         if (handling) {
-            happenings.add(() -> attemptEnded(ticket, attempt, server, outcome, fetching, durationNanos));
+            pendingEvents.add(() -> attemptEnded(ticket, attempt, server, outcome, fetching, durationNanos));
         } else {
             handle(attemptEnded(ticket, attempt, server, outcome, fetching, durationNanos));
         }
     }
 
-    /** Made when it is handled: whether the request has its answer by then is a part of it. */
+    /**
+     * Creates the event at the time it is handled, because it states whether the request has been answered by then.
+     */
     private AttemptEnded attemptEnded(
             long ticket, int attempt, long server, Outcome outcome, boolean fetching, long durationNanos) {
         return new AttemptEnded(ticket, server, attempt, outcome, fetching, slots.get(ticket) == null, durationNanos);
@@ -262,11 +292,11 @@
             Event event = first;
             while (event != null) {
                 actions.clear();
-                brain.handle(loop.now(), event, collect);
+                brain.handle(loop.now(), event, collectAction);
                 for (Action action : actions) {
-                    carryOut(action);
+                    execute(action);
                 }
-                Supplier<Event> next = happenings.poll();
+                Supplier<Event> next = pendingEvents.poll();
                 event = next == null ? null : next.get();
             }
         } finally {
@@ -274,7 +304,7 @@
         }
     }
 
-    private void carryOut(Action action) {
+    private void execute(Action action) {
         if (action instanceof Send a) {
             send(a);
         } else if (action instanceof Cancel a) {
@@ -300,49 +330,50 @@
 
     private void send(Send send) {
         Slot slot = slots.get(send.request());
-        // Counted even if it cannot be made: the module numbers attempts by what it has asked for.
+        // Counted even if the attempt cannot be made, as the module numbers the attempts that it has asked for.
         int attempt = slot == null ? 0 : slot.attempts++;
-        long left = slot == null ? 0 : slot.deadline - loop.now();
-        if (left <= 0 || attempt >= slot.request.version().settings().limits().attempts()) {
+        long remainingNanos = slot == null ? 0 : slot.deadline - loop.now();
+        if (remainingNanos <= 0
+                || attempt >= slot.request.version().settings().limits().attempts()) {
             passEnded(send.request(), attempt, send.member(), Outcome.MOOT, false, null, 0);
             return;
         }
         slot.atOrigin = passes.isOrigin(send.member());
-        long timeout = send.timeoutNanos() == 0 ? left : Math.min(left, send.timeoutNanos());
+        long timeout = send.timeoutNanos() == 0 ? remainingNanos : Math.min(remainingNanos, send.timeoutNanos());
         passes.begin(send.request(), slot.request, attempt, send.member(), timeout, send.sentByNanos());
     }
 
     private void finish(long ticket, Answer answer) {
         Slot slot = release(ticket);
         if (slot != null && answer instanceof Answer.Streamed streamed) {
-            streams++;
+            openStreams++;
             Incoming value =
                     new ObservedStream(streamed.value(), slot.ending(answer), ending -> streamEnded(slot, ending));
             slot.front.answer(slot.exchange, new Answer.Streamed(value));
         } else if (slot != null) {
             slot.front.answer(slot.exchange, answer);
-            ended(slot, slot.ending(answer));
+            requestEnded(slot, slot.ending(answer));
         }
     }
 
     private void streamEnded(Slot slot, Ending ending) {
-        streams--;
-        ended(slot, ending);
+        openStreams--;
+        requestEnded(slot, ending);
     }
 
-    /** Nothing more comes of a request. Its class stays in the settings until then, as it is told by its slot there. */
-    private void ended(Slot slot, Ending ending) {
-        tell(slot.request, ending, slot.openFor(loop.now()));
-        versions.ended(slot.request.requestClass());
+    /** Reports that a request has ended, and releases its class, whose slot stays reserved until then. */
+    private void requestEnded(Slot slot, Ending ending) {
+        notifyObservers(slot.request, ending, slot.ageNanos(loop.now()));
+        versions.requestEnded(slot.request.requestClass());
     }
 
-    /** Guards requests against the features that watch them: those come last, and a fault of theirs ends here. */
-    private void tell(Request request, Ending ending, long nanos) {
+    /** Notifies the observers. An exception of an observer is logged here, so that it cannot affect requests. */
+    private void notifyObservers(Request request, Ending ending, long nanos) {
         for (RequestObserver observer : observers) {
             try {
                 observer.ended(request.requestClass(), request.tenant(), request.key(), ending, nanos);
             } catch (RuntimeException e) {
-                loop.log().line("internal-error", "a feature could not take a request's end: " + e);
+                loop.log().line("internal-error", "an observer failed on the end of a request: " + e);
             }
         }
     }
@@ -350,7 +381,7 @@
     private Slot release(long ticket) {
         Slot slot = slots.remove(ticket);
         if (slot != null) {
-            loop.cancel(slot.overdue);
+            loop.cancel(slot.overdueTimer);
             passes.answered(ticket);
             heldBytes -= slot.request.valueBytes();
         }
--- a/src/main/java/slateseam/router/request/Versions.java
+++ b/src/main/java/slateseam/router/request/Versions.java
@@ -7,76 +7,79 @@
 import slateseam.decision.Api.Settings;
 
 /**
- * The settings in force, and the slots of classes. A class that is dropped keeps its slot until the last request of it has
- * ended; one that is added again under its name has it back. So there are at most as many slots as classes are listed and
- * have open requests at once.
+ * The settings in force, and the slots of request classes. A class that is removed from the settings keeps its slot
+ * until its last request has ended, and gets the same slot back if it is added again under the same name before the
+ * slot is reused. The number of slots is therefore bounded by the number of classes that are listed or have open
+ * requests at once.
  */
 public final class Versions {
     private final List<String> names = new ArrayList<>();
-    private final List<Integer> open = new ArrayList<>();
+    private final List<Integer> openRequests = new ArrayList<>();
     private Version current;
 
-    /** Begins with the settings of the start. */
+    /** Creates the first version from the settings at startup. */
     public Versions(Settings settings) {
         current = new Version(settings, slots(settings));
     }
 
-    /** The version that requests come with now. */
+    /** Returns the version in force, which new requests use. */
     public Version current() {
         return current;
     }
 
-    /** The names of classes by slot, as they are now: a view. */
+    /** Returns a live, read-only view of the names of classes, by slot. */
     public List<String> names() {
         return Collections.unmodifiableList(names);
     }
 
     /**
-     * Classes, limits and rules of these settings are in force from now on; all else stays until the next start, as the
-     * ring's messages and the farm's numbers depend on it.
+     * Adopts the classes, limits, rules and over-share worth of changed settings. All other settings stay until the
+     * next start, because the messages of the ring and the numbering of the farm depend on them.
+     *
+     * @return the new version
      */
     public Version adopt(Settings changed) {
-        Settings was = current.settings();
+        Settings previous = current.settings();
         Settings now = new Settings(
-                was.me(),
-                was.routers(),
-                was.zone(),
-                was.tickNanos(),
-                was.askedDiscovery(),
-                was.mode(),
-                was.originKind(),
+                previous.me(),
+                previous.routers(),
+                previous.zone(),
+                previous.tickNanos(),
+                previous.askedDiscovery(),
+                previous.mode(),
+                previous.originKind(),
                 changed.overShareWorth(),
                 changed.classes(),
-                was.tenants(),
+                previous.tenants(),
                 changed.limits(),
                 changed.rules());
         current = new Version(now, slots(now));
         return current;
     }
 
-    /** A request of a class is open from now on. */
-    public void begun(int slot) {
-        open.set(slot, open.get(slot) + 1);
+    /** Counts a request of the class in the given slot as open. */
+    public void requestStarted(int slot) {
+        openRequests.set(slot, openRequests.get(slot) + 1);
     }
 
-    /** It has ended. */
-    public void ended(int slot) {
-        open.set(slot, open.get(slot) - 1);
+    /** Counts a request of the class in the given slot as ended. */
+    public void requestEnded(int slot) {
+        openRequests.set(slot, openRequests.get(slot) - 1);
     }
 
     private List<Integer> slots(Settings settings) {
-        List<String> wanted =
+        List<String> listed =
                 settings.classes().stream().map(RequestClass::name).toList();
         List<Integer> slots = new ArrayList<>();
-        for (String name : wanted) {
+        for (String name : listed) {
             int slot = names.indexOf(name);
             for (int i = 0; slot < 0 && i < names.size(); i++) {
-                slot = open.get(i) == 0 && !wanted.contains(names.get(i)) ? i : -1;
+                slot = openRequests.get(i) == 0 && !listed.contains(names.get(i)) ? i : -1;
             }
             if (slot < 0) {
                 slot = names.size();
                 names.add(name);
-                open.add(0);
+                openRequests.add(0);
             }
             names.set(slot, name);
             slots.add(slot);
