--- a/src/main/java/slateseam/router/pass/ApplicationServer.java
+++ b/src/main/java/slateseam/router/pass/ApplicationServer.java
@@ -6,9 +6,10 @@
 import slateseam.router.farm.Farm;
 
 /**
- * An application server, or the origin, as it is spoken to.
+ * A destination of proxy passes: an application server or the origin, with the protocol spoken to it.
  *
- * @param pool this router's connections to it
+ * @param id the number of the server in the farm
+ * @param pool this router's connections to the server
  */
 record ApplicationServer(long id, InetSocketAddress address, ServerProtocol protocol, Pool pool) {
     static ApplicationServer of(Farm.Entry entry, ServerConnections connections) {
--- a/src/main/java/slateseam/router/pass/HttpOrigin.java
+++ b/src/main/java/slateseam/router/pass/HttpOrigin.java
@@ -10,7 +10,7 @@
 import slateseam.router.request.Facts;
 import slateseam.router.request.Request;
 
-/** HTTP/1.1, as the origin speaks it. */
+/** The HTTP/1.1 protocol of the origin. */
 final class HttpOrigin implements ServerProtocol {
     private final String host;
 
@@ -45,7 +45,7 @@
 
     @Override
     public boolean passFence(ByteBuffer in) throws MalformedException {
-        throw new MalformedException("there are no fences");
+        throw new MalformedException("HTTP/1.1 connections to the origin use no fences");
     }
 
     private StringBuilder head(String method, String path) {
--- a/src/main/java/slateseam/router/pass/Pass.java
+++ b/src/main/java/slateseam/router/pass/Pass.java
@@ -6,7 +6,7 @@
 
 /** A proxy pass: one attempt of a request at one server, or a probe of that server. */
 final class Pass extends Use {
-    /** The ticket of the request, or of nothing for a probe. */
+    /** The number under which the request is reported to the listener; -1 for a probe. */
     final long ticket;
 
     final int attempt;
@@ -14,17 +14,22 @@
     final Request request;
 
     final ApplicationServer server;
+    /** When the pass was begun, on the loop's clock, in nanoseconds. */
     final long begunAt;
+
+    /** When the pass times out, on the loop's clock, in nanoseconds. */
     final long endsAt;
-    /** When its last byte must have been handed to the system. */
+    /** By when the last byte must have been handed to the operating system, on the loop's clock, in nanoseconds. */
     final long writtenBy;
 
     Deadline timeout;
-    /** When it is given up unless it is written by then; null where it has all its time for that. */
+    /**
+     * Gives the pass up at {@link #writtenBy} unless it is written by then; null if the pass has until its timeout.
+     */
     Deadline unwritten;
-    /** The request has its final answer, so that no other attempt follows. */
+    /** Whether the request has its final answer, so that no further attempt follows. */
     boolean isLast;
-    /** Its outcome was told. */
+    /** Whether the outcome has been reported to the listener. */
     boolean isTold;
 
     Pass(
@@ -35,7 +40,9 @@
             long begunAt,
             long endsAt,
             long writtenBy) {
-        // What may not run twice stands alone, so that no other's mishap makes its outcome unknown.
+        // A write must not run twice, so it does not share a connection: a failure of another pass there would leave
+        // the
+        // outcome of the write unknown.
         super(server.pool(), Math.min(endsAt, writtenBy), request != null && !request.isWrite());
         this.ticket = ticket;
         this.attempt = attempt;
--- a/src/main/java/slateseam/router/pass/PassListener.java
+++ b/src/main/java/slateseam/router/pass/PassListener.java
@@ -4,9 +4,15 @@
 import slateseam.decision.Api.Outcome;
 import slateseam.router.request.Answer;
 
-/** Whom proxy passes and probes report to. */
+/** Receives the results of proxy passes and probes. */
 public interface PassListener {
-    /** A proxy pass ended; called once for each that was begun. The answer is there if it was served. */
+    /**
+     * Called exactly once for each proxy pass that was begun, when it ends.
+     *
+     * @param fetching whether the server missed and reports that a fetch of the key is already pending
+     * @param served the answer to pass on; null if the server returned no value
+     * @param durationNanos the time from the beginning of the pass to its end, in nanoseconds
+     */
     void passEnded(
             long request,
             int attempt,
@@ -16,6 +22,6 @@
             Answer served,
             long durationNanos);
 
-    /** Something happened that concerns no request: a probe ended. */
+    /** Called for an event that belongs to no request: the end of a probe. */
     void happened(Event event);
 }
--- a/src/main/java/slateseam/router/pass/Passes.java
+++ b/src/main/java/slateseam/router/pass/Passes.java
@@ -17,8 +17,12 @@
 import slateseam.router.request.Answer;
 import slateseam.router.request.Request;
 
-/** The proxy passes that are out. Which connection carries each is decided by {@link ServerConnections}. */
+/**
+ * The proxy passes and probes in progress. {@link ServerConnections} decides which connection carries each of them;
+ * this class carries out its orders on real sockets and reports the outcomes to a {@link PassListener}.
+ */
 public final class Passes {
+    /** Timeout of a health probe: 1 s. */
     private static final long PROBE_NANOS = 1_000_000_000L;
 
     private final Loop loop;
@@ -30,17 +34,20 @@
     private final Map<Long, ApplicationServer> servers = new HashMap<>();
     private final Map<Link, ServerConnection> byLink = new HashMap<>();
     private final Map<Long, Pass> byTicket = new HashMap<>();
-    /** Given up, but perhaps still out on a connection that others share; of requests that may be sent again. */
+    /**
+     * Attempts that were given up but may still be outstanding on a shared connection, by ticket. Holds only
+     * attempts of requests that may be sent again: a further attempt cuts the earlier one off.
+     */
     private final Map<Long, Pass> left = new HashMap<>();
 
     private final Runnable whenWritten;
     private boolean obeying;
 
     /**
-     * Creates the table.
+     * Creates an empty table.
      *
-     * @param connectNanos for which a connection may be coming up
-     * @param whenWritten is called for each attempt whose last byte was handed to the system
+     * @param connectNanos the connect timeout, in nanoseconds
+     * @param whenWritten called for each attempt (not for probes) whose last byte was handed to the operating system
      */
     public Passes(Loop loop, Farm farm, PassListener listener, long connectNanos, Bounds bounds, Runnable whenWritten) {
         this.loop = loop;
@@ -55,7 +62,10 @@
     /**
      * Begins an attempt of a request.
      *
-     * @param writtenBy when its last byte must have been handed to the system, on the loop's clock; later it is not sent
+     * @param ticket the number under which the end of the attempt is reported
+     * @param timeoutNanos how long the reply is waited for, in nanoseconds
+     * @param writtenBy by when the last byte must have been handed to the operating system, in nanoseconds on the
+     *     loop's clock; an attempt that is not written by then is given up
      */
     public void begin(long ticket, Request request, int attempt, long serverId, long timeoutNanos, long writtenBy) {
         ApplicationServer server = server(serverId);
@@ -75,7 +85,7 @@
         }
     }
 
-    /** Probes a server. */
+    /** Sends a health probe to a server and reports its outcome as a {@link ProbeEnded} event. */
     public void probe(long serverId) {
         ApplicationServer server = server(serverId);
         if (server == null) {
@@ -90,7 +100,7 @@
         tell(c -> c.ask(loop.now(), pass));
     }
 
-    /** Stops waiting for an attempt that is out; any other is passed over. */
+    /** Cancels an attempt that is in progress; does nothing if the request has no such attempt in progress. */
     public void cancel(long ticket, int attempt) {
         Pass pass = byTicket.get(ticket);
         if (pass != null && pass.attempt == attempt) {
@@ -99,8 +109,8 @@
     }
 
     /**
-     * The request has its final answer. Guards the rule that nothing is sent on after it: a pass that still waits for its
-     * connection must not be written, though the module may let one that is written go on.
+     * Called when the request has its final answer. Nothing may be sent for a request after that: a pass that still
+     * waits for its connection is given up, whereas the decision module may let a written pass continue.
      */
     public void answered(long ticket) {
         left.remove(ticket);
@@ -133,7 +143,8 @@
     }
 
     /**
-     * The farm has changed: lets go of servers that are no longer in it, and of what waits for one that drains.
+     * Called when the farm has changed. Removes servers that have left the farm, and ends the passes that wait for a
+     * connection to a server that has begun to drain.
      */
     public void farmChanged() {
         for (ApplicationServer server : List.copyOf(servers.values())) {
@@ -147,28 +158,35 @@
         }
     }
 
-    /** There may be so many connections from now on. */
+    /** Sets the maximum number of connections to servers. */
     public void bound(int mostConnections) {
         tell(c -> c.bound(loop.now(), mostConnections));
     }
 
-    /** Whether a server is the origin, as the farm lists it now. */
+    /** Returns whether the farm currently lists a server as the origin. */
     public boolean isOrigin(long serverId) {
         Farm.Entry entry = farm.entry(serverId);
         return entry != null && entry.isOrigin();
     }
 
-    /** What the connections have counted. */
+    /** Returns the counters of all connections to servers. */
     public Figures figures() {
         return connections.figures();
     }
 
-    /** Whether an answer like the one before is to be checked. */
+    /**
+     * Returns whether a reply that equals the previous reply on its connection must be verified with a fence.
+     *
+     * @param sameKey whether both replies answer requests for the same key
+     */
     boolean repeats(Link link, boolean sameKey) {
         return connections.repeats(loop.now(), link, sameKey);
     }
 
-    /** Tells the connections what happened and carries out what they order. */
+    /**
+     * Reports an event to {@link ServerConnections} and carries out the orders that follow from it. A nested call
+     * only reports the event; the outermost call carries out the orders.
+     */
     void tell(Consumer<ServerConnections> happening) {
         happening.accept(connections);
         if (obeying) {
@@ -233,7 +251,7 @@
         connections.failed(loop.now(), link);
     }
 
-    /** All of a pass was handed to the system. */
+    /** Called when all bytes of a pass have been handed to the operating system. */
     void written(Pass pass) {
         loop.cancel(pass.unwritten);
         if (!pass.isProbe()) {
@@ -241,7 +259,7 @@
         }
     }
 
-    /** A connection has ended, not by an order. */
+    /** Called when a connection has ended for another reason than an order. */
     void gone(Link link) {
         byLink.remove(link);
     }
@@ -250,7 +268,10 @@
         end(pass, reply, reply.value() == null ? null : new Answer.Served(reply.value()));
     }
 
-    /** The same with a value that is on its way; what becomes of that is no matter of the pass. */
+    /**
+     * Ends a pass and reports its outcome once. A streamed value may still be arriving; whether the rest of that
+     * value comes no longer affects the pass.
+     */
     void end(Pass pass, ServerProtocol.Reply reply, Answer served) {
         if (pass.isTold) {
             return;
@@ -268,7 +289,10 @@
                 pass.ticket, pass.attempt, pass.server.id(), reply.outcome(), reply.fetching(), served, duration);
     }
 
-    /** The server as the farm lists it now; one that moved to another address begins anew. */
+    /**
+     * Returns the server as the farm currently lists it, or null. A server whose address has changed gets a new
+     * entry with new connections.
+     */
     private ApplicationServer server(long id) {
         Farm.Entry entry = farm.entry(id);
         if (entry == null) {
--- a/src/main/java/slateseam/router/pass/RespServer.java
+++ b/src/main/java/slateseam/router/pass/RespServer.java
@@ -11,18 +11,21 @@
 import slateseam.router.request.Facts;
 import slateseam.router.request.Request;
 
-/** RESP2, as application servers speak it. */
+/** The RESP2 protocol of application servers. */
 final class RespServer implements ServerProtocol {
     private static final byte[] GET = Bytes.of("*4\r\n$9\r\nCACHE.GET\r\n");
     private static final byte[] SET = Bytes.of("*5\r\n$9\r\nCACHE.SET\r\n");
     private static final byte[] PING = Bytes.of("*1\r\n$4\r\nPING\r\n");
     private static final byte[] CLIENT = Bytes.of("*1\r\n$6\r\nCLIENT\r\n");
     private static final Pattern ERROR = Pattern.compile("[A-Z]{2,}( .*)?");
-    /** The value, and how it went. */
+    /** The items of a reply that are read: the value, and a word about the state of the fetch. */
     private static final int NEEDED_ITEMS = 2;
 
     private static final byte[] LINE_END = Bytes.of("\r\n");
-    /** The bytes round an item: a dollar, up to ten digits, two ends of lines. */
+    /**
+     * Maximum framing of a bulk string in bytes: a dollar sign, up to ten digits and two line ends of two bytes
+     * each.
+     */
     private static final int MOST_ROUND_ITEM = 15;
 
     @Override
@@ -63,19 +66,21 @@
         return ByteBuffer.wrap(CLIENT);
     }
 
-    /** Any line will do, as servers that do not know the command answer it with an error. */
+    /** Accepts any simple string or error, as servers that do not know the command answer it with an error. */
     @Override
     public boolean passFence(ByteBuffer in) throws MalformedException {
         Resp.Value reply = Resp.reply(in, 0);
         if (reply != null && reply.type() != '+' && reply.type() != '-') {
-            throw new MalformedException("an answer that belongs to nothing");
+            throw new MalformedException(
+                    "unexpected reply: expected a simple string or an error in reply to the fence");
         }
         return reply != null;
     }
 
     @Override
     public Reply reply(ByteBuffer in) throws MalformedException {
-        // Guards a good answer against the load report behind it, which nobody here reads.
+        // Parses only the items that are used, so that an unreadable load report behind them, which the router does
+        // not read, cannot invalidate a good reply.
         Resp.Value reply = Resp.reply(in, NEEDED_ITEMS);
         if (reply == null) {
             return null;
@@ -104,7 +109,7 @@
         return Resp.passEnd(in, begun.items());
     }
 
-    /** Guards against noise that happens to begin with a minus. */
+    /** Rejects garbage that happens to begin with a minus sign: an error reply starts with a word in capitals. */
     private static Reply failed(String text) throws MalformedException {
         if (!ERROR.matcher(text).matches()) {
             throw new MalformedException("an error must begin with a word in capitals");
--- a/src/main/java/slateseam/router/pass/ServerConnection.java
+++ b/src/main/java/slateseam/router/pass/ServerConnection.java
@@ -18,16 +18,26 @@
 import slateseam.router.request.Answer;
 import slateseam.router.request.Incoming;
 
-/** A connection to a server. It carries proxy passes in order and tells the passes' table what happens to it. */
+/**
+ * A connection to a server. Carries proxy passes in order, matches replies to them, and reports to {@link Passes}
+ * what happens to the connection.
+ */
 final class ServerConnection extends Connection {
-    /** For the rest of an answer once a part has come: less than an aim, so that there is time for another pass. */
+    /**
+     * How long the rest of a reply may take once a part of it has arrived. The limit is shorter than a latency
+     * target, so that there is time for another pass.
+     */
     private static final long REST_NANOS = 250 * Clock.MILLI;
 
-    /** Of a long value: it is passed on in pieces, and given up when nothing more comes for so long. */
+    /** Maximum size of the pieces in which a long value is passed on. */
     private static final int PIECE = 16 * 1024;
 
+    /** How long a long value may make no progress before the connection is closed. */
     private static final long STALLED_NANOS = 4_000 * Clock.MILLI;
-    /** Of an answer, to compare it with the one before; what is the same so far is checked. */
+    /**
+     * How many leading bytes of a reply are compared with the previous reply. A reply that equals the previous one
+     * in these bytes and in length counts as a possible duplicate.
+     */
     private static final int COMPARED = 256;
 
     private final Passes passes;
@@ -38,16 +48,16 @@
     private long upAt;
     private boolean used;
     private boolean reading;
-    /** Answers that are held until a fence is answered, in order; null if none is out. */
+    /** Replies that are held back until the fence is answered, in order; null if no fence is outstanding. */
     private List<ServerProtocol.Reply> held;
 
     private long lastBytes;
     private byte[] lastKey;
-    /** Until when it may stay as it is: connecting, or with a part of an answer. */
+    /** Deadline of the current phase: of connecting, or of receiving the rest of a reply. */
     private Deadline limit;
 
     private boolean partial;
-    /** The long value that comes just now; null where none does. */
+    /** The long value being received; null if none is. */
     private LongValue coming;
 
     ServerConnection(Loop loop, Passes passes, ApplicationServer server, Link link, long connectNanos)
@@ -59,10 +69,10 @@
         limit = loop.after(connectNanos, this::breakOff);
     }
 
-    /** Writes a pass behind what is out, unless it shows that the connection is of no use any more. */
+    /** Writes a pass behind the outstanding ones, unless a read beforehand shows that the connection is unusable. */
     void carry(Pass pass) {
         if (awaited.isEmpty() && !reading && (used || upAt != loop().now())) {
-            // Guards against bytes behind an answer, which would be read as the answer to this pass.
+            // Reads first, so that surplus bytes behind the last reply are not taken for the reply to this pass.
             poll();
         }
         if (isClosed() || !link.isOpen()) {
@@ -75,7 +85,7 @@
         write(pass.isProbe() ? server.protocol().probe() : server.protocol().command(pass.request, wait));
     }
 
-    /** Ends it, with all that is out on it. */
+    /** Closes the connection, with all passes outstanding on it. */
     void end() {
         loop().cancel(limit);
         close();
@@ -110,7 +120,7 @@
                     && link.isOpen()
                     && (coming == null ? takeOne(in) : coming.take(in))
                     && in.hasRemaining()) {
-                // Goes on with the next answer.
+                // Continues with the next reply.
             }
         } finally {
             reading = false;
@@ -127,11 +137,11 @@
         }
     }
 
-    /** Whether something whole was taken. */
+    /** Takes one reply from the buffer, or the head of a long one. Returns false if more bytes are needed first. */
     private boolean takeOne(ByteBuffer in) throws MalformedException {
         Pass first = awaited.peek();
         if (first == null) {
-            throw new MalformedException("an answer to nothing");
+            throw new MalformedException("reply received while no request is outstanding");
         }
         ServerProtocol protocol = server.protocol();
         if (held != null && held.size() == awaited.size()) {
@@ -149,7 +159,9 @@
         }
         ServerProtocol.Reply reply = first.isProbe() ? protocol.probeReply(in) : protocol.reply(in);
         if (reply == null) {
-            // Without a length its end is the connection's: for as long as something comes that may take its time.
+            // A reply without a length ends with the connection: restarts the deadline for the rest whenever bytes
+            // arrive,
+            // so that such a reply may take as long as it makes progress.
             boolean goesOn = in.hasRemaining() && protocol.endsWithConnection(in);
             if (goesOn) {
                 awaitRest(false);
@@ -170,7 +182,11 @@
         return true;
     }
 
-    /** Guards against a second copy of an answer that is taken as the next one: then one answer too many comes. */
+    /**
+     * Takes the reply to the fence and releases the replies held back. Guards against a duplicate of a reply being
+     * taken for the reply to the next request: with a duplicate, one more reply arrives ahead of the reply to the
+     * fence.
+     */
     private boolean takeFence(ByteBuffer in) throws MalformedException {
         if (!server.protocol().passFence(in)) {
             return false;
@@ -184,7 +200,7 @@
         return true;
     }
 
-    /** Whether an answer has the same bytes as the one before, and is to be told from a copy of that. */
+    /** Returns whether a reply equals the previous one, so that a fence must show that it is no duplicate of that. */
     private boolean repeats(ByteBuffer answer, Pass pass) {
         byte[] compared = new byte[Math.min(COMPARED, answer.limit())];
         answer.get(compared);
@@ -201,7 +217,7 @@
         Pass pass = awaited.remove();
         boolean givenUp = pass.isGivenUp();
         boolean reusable = reply.reusable() && pass.isWritten();
-        // Freed before the outcome is told, so that what the outcome makes the router send can use it at once.
+        // Frees the connection before the outcome is reported, so that requests sent as a result can use it at once.
         passes.tell(connections -> {
             connections.answered(loop().now(), link, reusable, more);
             if (!givenUp) {
@@ -210,7 +226,10 @@
         });
     }
 
-    /** Guards against answers that never end: the pass has failed long before its own time is up. */
+    /**
+     * Starts or stops the deadline for the rest of a reply. Guards against replies that never end: the pass fails
+     * well before its own timeout.
+     */
     private void awaitRest(boolean begun) {
         if (begun && !partial) {
             loop().cancel(limit);
@@ -223,8 +242,8 @@
     }
 
     /**
-     * A long value on its way to its user agent. What has come is passed on from the connection's one buffer; while it is
-     * not taken, nothing further is read.
+     * A long value that is streamed to a user agent. Received bytes are passed on from the connection's input
+     * buffer; while the user agent takes none, nothing further is read from the server.
      */
     private final class LongValue implements Incoming {
         private final Pass pass;
@@ -254,7 +273,7 @@
         public void to(Taker by) {
             taker = by;
             if (over) {
-                by.cut(); // it broke while answers ahead of it were waited for
+                by.cut(); // the value broke off while earlier answers to the user agent were pending
             }
             more();
         }
@@ -276,7 +295,7 @@
             }
         }
 
-        /** Whether there may be more to take. */
+        /** Passes on the bytes received. Returns whether the reply is complete and the next one can be read. */
         boolean take(ByteBuffer in) throws MalformedException {
             while (left > 0 && in.hasRemaining()) {
                 if (taker == null || !taker.wantsMore()) {
@@ -295,7 +314,7 @@
             awaitMore();
             if (left == 0 && taker != null) {
                 Taker by = taker;
-                taker = null; // whatever lies behind the value is no matter of its taker
+                taker = null; // what follows the value does not concern the taker
                 by.whole();
             }
             if (left > 0 || isClosed() || !server.protocol().passRest(in, begun)) {
@@ -308,7 +327,10 @@
             return true;
         }
 
-        /** Guards against a server that stops within its answer, for as long as it is asked for more. */
+        /**
+         * Restarts the stall deadline, which runs while more is requested: guards against a server that stops in
+         * mid-reply.
+         */
         private void awaitMore() {
             loop().cancel(stalled);
             stalled = over ? null : loop().after(STALLED_NANOS, ServerConnection.this::breakOff);
@@ -319,7 +341,7 @@
             loop().cancel(stalled);
         }
 
-        /** The connection has ended, or what came on it cannot be read. */
+        /** Called when the connection has ended, or when a malformed reply made it unusable. */
         void cut() {
             if (!over) {
                 finish();
@@ -330,7 +352,9 @@
         }
     }
 
-    /** What cannot be read may have run; the connection is of no more use. */
+    /**
+     * Called on a malformed reply. Its request may have run on the server; the connection is unusable from now on.
+     */
     @Override
     protected void malformed(MalformedException e) {
         loop().log().line("server-malformed", server.address() + ": " + e.getMessage());
--- a/src/main/java/slateseam/router/pass/ServerProtocol.java
+++ b/src/main/java/slateseam/router/pass/ServerProtocol.java
@@ -6,58 +6,80 @@
 import slateseam.router.net.MalformedException;
 import slateseam.router.request.Request;
 
-/** How one kind of server is spoken to. */
+/** The protocol of one kind of server: encodes requests and probes, and parses the replies. */
 interface ServerProtocol {
-    /** What a server answered; {@code reusable} if the connection can carry another pass. */
+    /**
+     * A parsed reply of a server.
+     *
+     * @param fetching whether the server missed and reports that a fetch of the key is already pending
+     * @param value the value; null unless the outcome is OK and the request asks for a value
+     * @param reusable whether the connection can carry another pass
+     */
     record Reply(Outcome outcome, boolean fetching, byte[] value, boolean reusable) {
         Reply(Outcome outcome) {
             this(outcome, false, null, true);
         }
     }
 
-    /** The buffers that ask for this, when the router will wait so long. */
+    /**
+     * Encodes a request.
+     *
+     * @param waitMillis how long the router will wait for the reply, which the server is told, in milliseconds
+     */
     ByteBuffer[] command(Request request, long waitMillis);
 
-    /** The buffers of a probe. */
+    /** Encodes a health probe. */
     ByteBuffer[] probe();
 
-    /** The buffer of a command that tells nothing and is answered in order; null where there is none. */
+    /** Returns a command without effect that the server answers in order (a fence); null if the protocol has none. */
     ByteBuffer fence();
 
     /**
-     * Passes the answer to a fence; false, with the buffer as it was, while it is not whole.
+     * Skips the reply to a fence. Returns false and leaves the buffer unchanged while the reply is incomplete.
      *
-     * @throws MalformedException if what came cannot be that answer
+     * @throws MalformedException if the bytes received cannot be the reply to a fence
      */
     boolean passFence(ByteBuffer in) throws MalformedException;
 
-    /** Reads the answer to a request; null, with the buffer as it was, while it is not whole. */
+    /** Reads the reply to a request. Returns null and leaves the buffer unchanged while the reply is incomplete. */
     Reply reply(ByteBuffer in) throws MalformedException;
 
-    /** The answer that the server's orderly end has made whole; null where its protocol or its head tells another end. */
+    /**
+     * Reads a reply that is delimited by the orderly close of the connection. Returns null where the protocol or the
+     * reply's head delimits the reply in another way.
+     */
     default Reply replyAtEnd(ByteBuffer in) throws MalformedException {
         return null;
     }
 
-    /** Whether only the server's end will tell that the answer which has begun is whole; the buffer stays as it is. */
+    /**
+     * Returns whether the reply being received is delimited only by the server closing the connection. Leaves the
+     * buffer unchanged.
+     */
     default boolean endsWithConnection(ByteBuffer in) throws MalformedException {
         return false;
     }
 
     /**
-     * The beginning of an answer whose value is longer than {@link Connection#LONG_VALUE}.
+     * The beginning of a reply whose value is longer than {@link Connection#LONG_VALUE} and is therefore streamed.
      *
-     * @param length of the value, which lies next in the buffer
-     * @param items of the answer that come behind the value and its end
+     * @param length the length of the value in bytes; the value is next in the buffer
+     * @param items the number of items of the reply that follow the value and its terminator
+     * @param reusable whether the connection can carry another pass after the reply
      */
     record Begun(int length, int items, boolean reusable) {}
 
-    /** Reads the beginning of an answer with a long value; null, with the buffer as it was, for any other. */
+    /**
+     * Reads the beginning of a reply with a long value. Returns null and leaves the buffer unchanged for any other
+     * reply.
+     */
     Begun begun(ByteBuffer in) throws MalformedException;
 
-    /** Passes what comes behind a long value; false, with the buffer as it was, while it is not whole. */
+    /**
+     * Skips what follows a long value. Returns false and leaves the buffer unchanged while that part is incomplete.
+     */
     boolean passRest(ByteBuffer in, Begun begun) throws MalformedException;
 
-    /** Reads the answer to a probe; null, with the buffer as it was, while it is not whole. */
+    /** Reads the reply to a probe. Returns null and leaves the buffer unchanged while the reply is incomplete. */
     Reply probeReply(ByteBuffer in) throws MalformedException;
 }
--- a/src/main/java/slateseam/router/useragent/Acceptor.java
+++ b/src/main/java/slateseam/router/useragent/Acceptor.java
@@ -10,23 +10,26 @@
 import slateseam.router.net.Loop;
 
 /**
- * Accepts connections at one listener. Before it has begun nobody can connect: a connection that the system has set up, and the
- * request behind it, would wait in the system's queue unseen, for a time that nobody counts.
+ * Accepts connections at one listening address. Until {@link #begin} the port is reserved but connections are
+ * refused: otherwise a connection set up by the operating system, and the request on it, would wait in the accept
+ * queue for a time that is not measured.
  */
 public final class Acceptor {
     private static final int BACKLOG = 512;
+    /** How long accepting pauses (50 ms) when there is no room for a connection or accepting has failed. */
     private static final long PAUSE_NANOS = 50_000_000L;
+    /** Maximum number of connections accepted in one round of the loop. */
     private static final int MOST_AT_ONCE = 64;
 
-    /** Whom the connections are for. */
+    /** Takes the accepted connections and limits their number. */
     public interface Gate {
-        /** Whether one more can be taken. */
+        /** Closes connections that can be spared if the limit is reached. Returns whether one more can be taken. */
         boolean makeRoom();
 
         /** Takes a connection. */
         void accept(SocketChannel channel) throws IOException;
 
-        /** Calls back when there may be room again. */
+        /** Registers an action that runs whenever there may be room again. */
         default void onRoom(Runnable action) {}
     }
 
@@ -36,28 +39,32 @@
     private final boolean shared;
     /** Holds the port without listening; null once the listener has it. */
     private SocketChannel reservation;
-    /** Null until it has begun. */
+    /** The listening channel; null until {@link #begin}. */
     private ServerSocketChannel channel;
 
     private SelectionKey key;
     private boolean closed;
-    /** The end of the pause; null where there is none. */
+    /** The end of the current pause; null if accepting is not paused. */
     private Deadline pauseEnds;
 
-    /** Takes the port of an address, which fails if somebody listens there; connections come once it has begun. */
+    /** Reserves the port of an address without accepting connections; fails if another process listens there. */
     public Acceptor(Loop loop, InetSocketAddress listen, Gate gate) throws IOException {
         this(loop, listen, gate, false);
     }
 
-    /** The same, at an address that another process of this router may listen at too. */
+    /**
+     * Reserves the port of an address without accepting connections.
+     *
+     * @param shared whether another process of this router may listen at the same address ({@code SO_REUSEPORT})
+     */
     public Acceptor(Loop loop, InetSocketAddress listen, Gate gate, boolean shared) throws IOException {
         this.loop = loop;
         this.gate = gate;
         this.shared = shared;
         this.reservation = loop.provider().openSocketChannel();
         try {
-            // As listeners have it: without this the port cannot be had while connections of a process before are not
-            // forgotten.
+            // Without this option, which the listener sets by default, binding fails while connections of an earlier
+            // process are in TIME_WAIT.
             reservation.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             if (shared) {
                 reservation.setOption(StandardSocketOptions.SO_REUSEPORT, true);
@@ -71,7 +78,7 @@
         gate.onRoom(this::resume);
     }
 
-    /** Listens, and takes connections from now on; not if it was closed. */
+    /** Starts to listen and to accept connections; does nothing after {@link #close} or a previous call. */
     public void begin() throws IOException {
         if (closed || channel != null) {
             return;
@@ -98,12 +105,12 @@
         }
     }
 
-    /** There may be three listeners: whoever reads this must know which. */
+    /** Adds the address to the message, as a router may have three listeners. */
     private static IOException cannotListen(InetSocketAddress at, IOException why) {
         return new IOException("cannot listen at " + at + ": " + why.getMessage(), why);
     }
 
-    /** Where it listens, or will. */
+    /** Returns the address that is or will be listened at. */
     public InetSocketAddress address() {
         return address;
     }
@@ -118,8 +125,8 @@
     }
 
     /**
-     * Takes all that have come, and stops listening at once. Guards connections that the system has set up already: what lies
-     * in the queue of a listener that is closed is reset.
+     * Accepts all pending connections and stops listening at once. Otherwise the connections that the operating
+     * system has already set up would be reset, as the accept queue of a closed listener is discarded.
      */
     public void closeEmpty() throws IOException {
         if (channel != null) {
@@ -136,7 +143,10 @@
         try {
             for (int i = 0; i < most; i++) {
                 if (!gate.makeRoom()) {
-                    loop.log().line("user-agents-full", "no further connection is taken until one can be closed");
+                    loop.log()
+                            .line(
+                                    "user-agents-full",
+                                    "connection limit reached; accepting pauses until a connection can be closed");
                     pause();
                     return;
                 }
@@ -147,13 +157,16 @@
                 gate.accept(accepted);
             }
         } catch (IOException e) {
-            // Guards the loop when descriptors run out: the ready backlog would keep it spinning.
+            // When file descriptors run out, the accept queue stays ready and would make the loop spin.
             loop.log().line("accept-failed", e.toString());
             pause();
         }
     }
 
-    /** One pause at a time: room that opens and fills again within it must not leave a second one behind, for good. */
+    /**
+     * Pauses accepting. Cancels the timer of an earlier pause first: room that opens and fills again within a pause
+     * would otherwise leave a second, self-renewing timer behind.
+     */
     private void pause() {
         key.interestOps(0);
         loop.cancel(pauseEnds);
--- a/src/main/java/slateseam/router/useragent/Commands.java
+++ b/src/main/java/slateseam/router/useragent/Commands.java
@@ -8,12 +8,12 @@
 import slateseam.router.request.Answer;
 import slateseam.router.request.Ending;
 
-/** The platform's commands, each an exchange of its own. */
+/** The dialect of the platform's commands, in which each command is an exchange of its own. */
 public final class Commands implements Dialect {
     private final Requests requests;
     private final Lifecycle lifecycle;
 
-    /** Creates the dialect. */
+    /** Creates the dialect; the lifecycle tells whether PING is answered with PONG. */
     public Commands(Requests requests, Lifecycle lifecycle) {
         this.requests = requests;
         this.lifecycle = lifecycle;
@@ -24,7 +24,7 @@
         return new Single(ready);
     }
 
-    /** The name of a command. */
+    /** Returns the name of a command in upper case. */
     public static String name(List<ByteBuffer> command) {
         return Bytes.text(command.get(0)).toUpperCase(Locale.ROOT);
     }
--- a/src/main/java/slateseam/router/useragent/Dialect.java
+++ b/src/main/java/slateseam/router/useragent/Dialect.java
@@ -1,8 +1,11 @@
 package slateseam.router.useragent;
 
-/** What the commands mean that come to one listener. */
+/** Interprets the commands received at one listener. */
 @FunctionalInterface
 public interface Dialect {
-    /** Begins the exchange that the next command belongs to; it calls back when its answer is there. */
+    /**
+     * Begins the exchange that the next command belongs to; {@code ready} runs when the answer of the exchange is
+     * available.
+     */
     Exchange exchange(Runnable ready);
 }
--- a/src/main/java/slateseam/router/useragent/Exchange.java
+++ b/src/main/java/slateseam/router/useragent/Exchange.java
@@ -5,24 +5,27 @@
 import slateseam.router.net.MalformedException;
 import slateseam.router.request.Incoming;
 
-/** One command, or several that belong together, and the one answer, which waits for those ahead of it. */
+/**
+ * One command of a user agent, or several that belong together, with their single answer. The answer is sent after
+ * the answers of all earlier exchanges of the connection.
+ */
 public abstract class Exchange {
     private final Runnable ready;
     private ByteBuffer[] answer;
-    /** The value that follows the answer as it comes; null where there is none. */
+    /** The streamed value that follows the answer; null if there is none. */
     private Incoming stream;
 
-    /** Creates one that calls back when its answer is there. */
+    /** Creates an exchange that runs {@code ready} when its answer is available. */
     protected Exchange(Runnable ready) {
         this.ready = ready;
     }
 
-    /** One that has its answer and takes no command. */
+    /** Returns an exchange that already has its answer and takes no command. */
     static Exchange answered(ByteBuffer... bytes) {
         Exchange exchange = new Exchange(() -> {}) {
             @Override
             public void take(List<ByteBuffer> command) {
-                throw new IllegalStateException("it is answered");
+                throw new IllegalStateException("exchange is already answered");
             }
         };
         exchange.answer = bytes;
@@ -30,51 +33,51 @@
     }
 
     /**
-     * Takes its first command or, while it is not whole, the next.
+     * Takes the first command of the exchange or, until {@link #isWhole}, the next one.
      *
-     * @throws MalformedException if it cannot be told which of the commands behind this one belong to it
+     * @throws MalformedException if it cannot be determined which of the following commands belong to this exchange
      */
     public abstract void take(List<ByteBuffer> command) throws MalformedException;
 
-    /** Whether no further command belongs to it. */
+    /** Returns whether all commands of the exchange have been taken. */
     public boolean isWhole() {
         return true;
     }
 
-    /** How many commands it has taken. */
+    /** Returns how many commands the exchange has taken. */
     public int commands() {
         return 1;
     }
 
-    /** The number of the tenant that asks; -1 where it is not known. */
+    /** Returns the number of the requesting tenant; -1 if it is not known. */
     public int tenant() {
         return -1;
     }
 
-    /** The user agent has left: nothing is owed any more. */
+    /** Called when no answer is wanted any more, because the user agent has left or the connection is ending. */
     public void withdraw() {}
 
-    /** The answer was handed to the connection. */
+    /** Called when the whole answer has been handed to the connection. */
     public void handedOver() {}
 
-    /** Brings the answer. */
+    /** Sets the answer and reports that it is available. */
     protected final void finish(ByteBuffer... bytes) {
         answer = bytes;
         ready.run();
     }
 
-    /** Brings the beginning of the answer; the value behind it is on its way. */
+    /** Sets the head of the answer, which a streamed value follows, and reports that it is available. */
     protected final void finish(Incoming value, ByteBuffer head) {
         stream = value;
         finish(head);
     }
 
-    /** The value that follows the answer as it comes; null where there is none. */
+    /** Returns the streamed value that follows the answer; null if there is none. */
     final Incoming stream() {
         return stream;
     }
 
-    /** The answer; null while it is not there. */
+    /** Returns the answer, or its head if a streamed value follows; null until it is available. */
     public final ByteBuffer[] answer() {
         return answer;
     }
--- a/src/main/java/slateseam/router/useragent/Replies.java
+++ b/src/main/java/slateseam/router/useragent/Replies.java
@@ -5,17 +5,21 @@
 import slateseam.router.net.Clock;
 import slateseam.router.request.Answer;
 
-/** Answers as RESP2. */
+/** Encodes answers to user agents as RESP2. */
 public final class Replies {
     private static final byte[] LINE_END = Bytes.of("\r\n");
-    /** A dollar, up to ten digits, two ends of lines. */
+    /**
+     * Maximum framing of a bulk string in bytes: a dollar sign, up to ten digits and two line ends of two bytes
+     * each.
+     */
     private static final int MOST_ROUND_VALUE = 15;
 
+    /** Maximum length in bytes of a value that is copied into one buffer with its framing. */
     private static final int MOST_COPIED = 4 * 1024;
 
     private Replies() {}
 
-    /** The buffers of a request's answer. */
+    /** Encodes the answer to a request. */
     public static ByteBuffer[] of(Answer answer) {
         if (answer instanceof Answer.Served served) {
             return value(served.value());
@@ -27,19 +31,19 @@
         return line("-ERR failed");
     }
 
-    /** What comes before a value of so many bytes; {@link #end} comes behind it. */
+    /** Encodes the head of a value of the given length in bytes; {@link #end} follows the value. */
     static ByteBuffer head(int length) {
         return Bytes.putNumber(ByteBuffer.allocate(MOST_ROUND_VALUE).put((byte) '$'), length)
                 .put(LINE_END)
                 .flip();
     }
 
-    /** What comes behind a value. */
+    /** Encodes the terminator of a value. */
     static ByteBuffer end() {
         return ByteBuffer.wrap(LINE_END);
     }
 
-    /** A short value is copied, so that there is one buffer to keep and to gather. */
+    /** Encodes a value. A short value is copied, so that only one buffer has to be kept and written. */
     private static ByteBuffer[] value(byte[] value) {
         boolean copied = value.length <= MOST_COPIED;
         ByteBuffer head = ByteBuffer.allocate(MOST_ROUND_VALUE + (copied ? value.length : 0));
@@ -49,12 +53,12 @@
                 : new ByteBuffer[] {head.flip(), ByteBuffer.wrap(value), ByteBuffer.wrap(LINE_END)};
     }
 
-    /** The buffer of a line. */
+    /** Encodes a line: a simple string or an error, without its line end. */
     public static ByteBuffer[] line(String text) {
         return new ByteBuffer[] {ByteBuffer.wrap(Bytes.of(text + "\r\n"))};
     }
 
-    /** The answer to a command that is no request. */
+    /** Encodes the answer to a command that is not a request. */
     public static ByteBuffer[] other(String command, boolean answersPing) {
         return line(
                 switch (command) {
--- a/src/main/java/slateseam/router/useragent/Requests.java
+++ b/src/main/java/slateseam/router/useragent/Requests.java
@@ -17,34 +17,34 @@
 import slateseam.router.request.Version;
 import slateseam.router.request.Versions;
 
-/** Turns commands into requests, whatever listener they came to, and brings each its answer. */
+/** Turns the commands of all listeners into requests to the core and delivers the answers. */
 public final class Requests implements Front {
     private static final int READ_ITEMS = 4;
     private static final int WRITE_ITEMS = 5;
 
-    /** A request that is owed an answer. */
+    /** A request whose answer is pending. */
     public abstract static class Open {
         private long number = -1;
         private long request = -1;
         private long waitNanos;
         private int tenant = -1;
-        /** Its id while it is open. */
+        /** The id of the request while it is open. */
         private String id;
 
-        /** Takes the one final answer. */
+        /** Called once, with the final answer. */
         protected abstract void answered(Answer answer);
 
-        /** Whether it takes a long value while that comes. */
+        /** Returns whether a long value may be delivered as a stream instead of as a whole. */
         protected boolean streams() {
             return false;
         }
 
-        /** The number of its tenant; -1 before it was taken. */
+        /** Returns the number of the requesting tenant; -1 before {@link Requests#take}. */
         public final int tenant() {
             return tenant;
         }
 
-        /** How long its user agent waits. */
+        /** Returns how long the user agent waits for the answer, in nanoseconds. */
         public final long waitNanos() {
             return waitNanos;
         }
@@ -54,20 +54,26 @@
     private final Versions versions;
     private final List<String> tenants;
     private final Slots<Open> open;
-    /** The ids of the requests that are owed an answer; they are held as long as those are, and no longer. */
+    /** The ids of the requests whose answers are pending; an id may be used again once its request is over. */
     private final Set<String> openIds = new HashSet<>();
 
-    /** Creates the table; the core holds at most so many requests. */
+    /**
+     * Creates an empty table.
+     *
+     * @param mostHeld the maximum number of requests that the core holds
+     */
     public Requests(Intake core, Versions versions, int mostHeld) {
         this.core = core;
         this.versions = versions;
         this.tenants = versions.current().settings().tenants().stream()
                 .map(Tenant::name)
                 .toList();
-        this.open = new Slots<>(mostHeld + 1); // the one more is being turned away
+        this.open = new Slots<>(mostHeld + 1); // one extra slot for a request that is being refused
     }
 
-    /** Takes a command as a request; returns null, or the error line that it gets instead. */
+    /**
+     * Passes a command to the core as a request. Returns null, or the error line to send if the command is invalid.
+     */
     public ByteBuffer[] take(List<ByteBuffer> command, boolean write, Open asked) {
         if (command.size() != (write ? WRITE_ITEMS : READ_ITEMS)) {
             return Replies.line("-ERR wrong number of arguments");
@@ -79,7 +85,7 @@
             return Replies.line("-ERR a key, id or fact is no visible ASCII");
         }
         String openId = Bytes.text(ByteBuffer.wrap(id));
-        // Guards against two requests of one id, of which neither's answer could be told from the other's.
+        // With two open requests of the same id, their answers could not be told apart.
         if (openIds.contains(openId)) {
             return Replies.line("-ERR a request with this id is open");
         }
@@ -112,7 +118,7 @@
         return null;
     }
 
-    /** Gives a request up, if it is still owed an answer: what comes for it later goes nowhere. */
+    /** Withdraws a request if its answer is still pending; an answer that arrives later is discarded. */
     public void withdraw(Open asked, Ending why) {
         if (open.remove(asked.number) != null) {
             openIds.remove(asked.id);
@@ -131,7 +137,7 @@
         }
     }
 
-    /** Guards the origin's HTTP head, into which these are written. */
+    /** Accepts only visible ASCII, as keys, ids and facts are written into the HTTP head of origin fetches. */
     private static boolean isPlain(byte[] text) {
         for (byte b : text) {
             if (!Bytes.isVisible(b)) {
--- a/src/main/java/slateseam/router/useragent/RespFront.java
+++ b/src/main/java/slateseam/router/useragent/RespFront.java
@@ -16,21 +16,21 @@
 import slateseam.router.net.Slots;
 
 /**
- * The connections of user agents, which speak RESP2, on all listeners. Which of them stay is settled by the room; what
- * their commands mean is told by the dialect of the listener that they came to.
+ * The RESP2 connections of user agents on all listeners. A {@link UserAgentRoom} decides which connections are kept;
+ * the {@link Dialect} of the listener at which a connection was accepted interprets its commands.
  */
 public final class RespFront {
-    /** Of the heap, for answers that are not read. */
+    /** Divisor of the heap size that gives the memory limit for answers that user agents do not read: one eighth. */
     private static final int UNREAD_PART = 8;
-    /** Of connections that are ended at a time for want of room in the table. */
+    /** Maximum number of connections that are ended at a time to make room in the table. */
     private static final int MOST_AT_ONCE = 16;
 
     private final Loop loop;
     private final Slots<UserAgent> userAgents;
     private final UserAgentRoom room;
-    /** Connections that there may be now. */
+    /** The current maximum number of connections. */
     private int most;
-    /** Of the longest class: an answer that is not read by then is of no use to anyone. */
+    /** The longest deadline of any class, in nanoseconds: an answer that is not read within it has become useless. */
     private long readNanos;
 
     private final List<Runnable> whenClosed = new ArrayList<>();
@@ -39,8 +39,11 @@
     private int listeners;
 
     /**
-     * Creates the front for at most so many connections, whatever listener they come to, of which user agents hold so many
-     * for their requests.
+     * Creates the table of connections.
+     *
+     * @param longestAnswerNanos the longest deadline of any class, in nanoseconds
+     * @param mostConnections the maximum number of connections, on all listeners together
+     * @param held how many of these connections user agents hold for their requests
      */
     public RespFront(Loop loop, Lifecycle lifecycle, long longestAnswerNanos, int mostConnections, int held) {
         this.loop = loop;
@@ -52,34 +55,39 @@
         lifecycle.whenLeaving(this::leave);
     }
 
-    /** How many connections are open. */
+    /** Returns the number of open connections. */
     public int connections() {
         return userAgents.size();
     }
 
-    /** There may be so many connections from now on, of which user agents hold so many; never more than at the start. */
+    /**
+     * Sets new limits on the number of connections.
+     *
+     * @param mostConnections the maximum number of connections; never more than the number given to the constructor
+     * @param held how many of these connections user agents hold for their requests
+     */
     public void bound(int mostConnections, int held) {
         most = mostConnections;
         room.bound(mostConnections, held);
         lookSoon();
     }
 
-    /** Answers are waited for as long as this from now on; what is out keeps its time. */
+    /** Raises the time that user agents have to read an answer to the given nanoseconds; never lowers it. */
     public void longest(long longestAnswerNanos) {
         readNanos = Math.max(readNanos, longestAnswerNanos);
     }
 
-    /** The room that connections have, for its figures. */
+    /** Returns the policy that decides which connections are kept, for its counters. */
     public UserAgentRoom room() {
         return room;
     }
 
-    /** Calls back after each close of a connection; further ones too. */
+    /** Adds an action that runs after each close of a connection. */
     public void onClose(Runnable action) {
         whenClosed.add(action);
     }
 
-    /** The gate of a listener whose commands are of a dialect. */
+    /** Returns the gate of a new listener whose commands are interpreted by a dialect. */
     public Acceptor.Gate gate(Dialect dialect) {
         int listener = listeners++;
         return new Acceptor.Gate() {
@@ -101,8 +109,9 @@
     }
 
     /**
-     * Whether a connection can be taken into the table. Guards against user agents that hold connections without a
-     * request: those that are being ended are cut short, then what the room can spare is ended, then half commands are.
+     * Returns whether a connection can be taken into the table, ending others if the table is full. Guards against
+     * user agents that hold connections without a request: connections that are already ending are closed first,
+     * then surplus connections, then connections on which only part of a command has arrived.
      */
     private boolean makeRoom() {
         for (int i = 0; i < MOST_AT_ONCE && isFull(); i++) {
@@ -133,7 +142,7 @@
         return (UserAgent) kept.owner();
     }
 
-    /** Takes a connection, whose commands are of a dialect. */
+    /** Takes over an accepted connection, or closes it if its address has too many connections. */
     private void accept(SocketChannel channel, Dialect dialect, int listener) throws IOException {
         try {
             SocketAddress from = channel.getRemoteAddress();
@@ -152,14 +161,14 @@
         }
     }
 
-    /** There may be more connections than the room has place for; looked at when the present happening is over. */
+    /** Schedules a check for surplus connections, to run when the current event has been handled. */
     void lookSoon() {
         if (!isClosing() && look == null && room.lookAgain(loop.now()) != Long.MAX_VALUE) {
             look = loop.after(0, this::keepWithinRoom);
         }
     }
 
-    /** Ends what the room has no place for, and looks again as long as there is too much. */
+    /** Ends surplus connections and schedules the next check if another one is due. */
     private void keepWithinRoom() {
         for (Kept kept; !isClosing() && (kept = room.surplus(loop.now())) != null; ) {
             agent(kept).giveWay();
@@ -168,12 +177,15 @@
         look = next == Long.MAX_VALUE ? null : loop.after(next - loop.now(), this::keepWithinRoom);
     }
 
-    /** Closes every connection as soon as it stands between requests. */
+    /** Closes every connection as soon as it is between requests. */
     private void leave() {
         userAgents.all().forEach(UserAgent::closeWhenDone);
     }
 
-    /** Takes no further command on any connection; each ends behind what it has begun. */
+    /**
+     * Takes no further command on any connection; each connection ends after the answers to the commands it has
+     * begun.
+     */
     public void finish() {
         userAgents.all().forEach(UserAgent::finish);
     }
@@ -186,7 +198,9 @@
         return readNanos;
     }
 
-    /** Closes those that have not read for longest while there is too much that nobody reads. */
+    /**
+     * Closes the connections that have not read for longest, until the unread answers fit their share of the heap.
+     */
     void boundUnread() {
         List<UserAgent> unread = userAgents.all().stream()
                 .filter(UserAgent::isUnread)
@@ -202,7 +216,7 @@
         }
     }
 
-    /** A connection is closed. */
+    /** Called when a connection is closed. */
     void forget(long ticket, Kept kept, Cause cause) {
         userAgents.remove(ticket);
         room.closed(kept, cause, loop.now());
--- a/src/main/java/slateseam/router/useragent/UserAgent.java
+++ b/src/main/java/slateseam/router/useragent/UserAgent.java
@@ -17,24 +17,34 @@
 import slateseam.router.net.Resp;
 import slateseam.router.request.Incoming;
 
-/** One connection of a user agent. Its answers go out in the order of its commands. */
+/** One connection of a user agent. Answers are sent in the order of the commands. */
 final class UserAgent extends Connection implements Incoming.Taker {
-    /** Of a value that streams: no more is asked for while so much is not handed to the system. */
+    /** A streamed value is not read further while this many bytes wait to be handed to the operating system. */
     private static final int MOST_UNWRITTEN = 64 * 1024;
 
+    /** Maximum number of commands that are in progress at a time on one connection. */
     private static final int MOST_COMMANDS = 16;
-    /** Of commands that are taken in one go, however quickly each is answered: what lies behind them waits a round. */
+    /**
+     * Maximum number of commands taken in one round of the loop, however quickly they are answered; further commands
+     * wait for the next round.
+     */
     private static final int MOST_IN_A_ROW = 64;
-    /** Of what comes behind commands that wait, so that the end of its user agent is seen: then nothing is begun any more. */
+    /**
+     * Maximum number of bytes read ahead behind commands in progress. Reading ahead detects that the user agent has
+     * closed the connection; no further command is begun then.
+     */
     private static final int AHEAD = 256 * 1024;
-    /** For a first command, or one of which a part has come: no user agent that waits for an answer takes so long. */
+    /**
+     * How long a first command, or the rest of a partly received command, may take: longer than any user agent that
+     * waits for an answer needs to send it.
+     */
     private static final long COMMAND_NANOS = 2_500 * Clock.MILLI;
-    /** For a first command, where connections are not kept. */
+    /** How long a new connection may take to send its first command while connections are not kept. */
     private static final long FIRST_NANOS = 250 * Clock.MILLI;
-    /** For the other side to end, after the last answer. */
+    /** How long the user agent may take to close the connection after the last answer. */
     private static final long LINGER_NANOS = 1_000 * Clock.MILLI;
 
-    /** What a connection waits for; each has its deadline. */
+    /** What a connection waits for; each state has its own deadline. */
     private enum State {
         FIRST_COMMAND(Phase.SILENT),
         REST_OF_COMMAND(Phase.HALF),
@@ -53,27 +63,30 @@
     private final RespFront front;
     private final Dialect dialect;
     private final Deque<Exchange> inOrder = new ArrayDeque<>();
-    /** How many commands the exchanges have taken. */
+    /** The number of commands taken by the exchanges in progress. */
     private int begun;
 
     private long ticket;
     private Kept kept;
     private boolean last;
-    /** Whether a part of a command has come and the rest has not. */
+    /** Whether part of a command has arrived and the rest has not. */
     private boolean half;
-    /** Whether commands that have come wait for the loop's next round. */
+    /** Whether commands that have arrived wait for the next round of the loop. */
     private boolean yields;
 
     private State state;
     private long since;
     private Deadline limit;
-    /** Why it ends, if it was not the user agent that ended it. */
+    /** Why the connection ends; {@link Cause#LEFT} unless this side ends it. */
     private Cause cause = Cause.LEFT;
-    /** Whether it was ended between requests: what comes now crossed that. */
+    /**
+     * Whether this side ended the connection between requests: bytes that arrive afterwards were sent before that
+     * was seen.
+     */
     private boolean endedIdle;
-    /** The value that streams behind the answer that is first; null where none does. */
+    /** The value being streamed behind the head of the first answer; null if none is. */
     private Incoming flowing;
-    /** How much had been handed to the system when its reading was last looked at. */
+    /** How many bytes had been handed to the operating system at the last check of the reading progress. */
     private long handed;
 
     UserAgent(RespFront front, Loop loop, SocketChannel channel, Dialect dialect) throws IOException {
@@ -86,7 +99,7 @@
         ticket = ticketOfIt;
         kept = keptAs;
         enter(State.FIRST_COMMAND);
-        closeWhenDone(); // where none is kept, not even one that stays silent
+        closeWhenDone(); // applies to silent connections too, while connections are not kept
     }
 
     long since() {
@@ -116,7 +129,10 @@
         pause(true);
     }
 
-    /** Goes on in the next round. Guards others against one that sends very many commands at once. */
+    /**
+     * Continues in the next round of the loop, so that a user agent that pipelines many commands does not delay
+     * others.
+     */
     private void letOthersGoFirst() {
         yields = true;
         settle();
@@ -130,24 +146,25 @@
     }
 
     /**
-     * Whether a command may be begun; one that belongs to what has begun always may. In a planned end all may: those
-     * that waited for the ones ahead of them would be cut off at its end without an answer.
+     * Returns whether a command may be begun. A command that belongs to an exchange in progress always may. During a
+     * planned shutdown there is no limit: commands that waited for earlier ones would be cut off without an answer
+     * at its end.
      */
     private boolean mayBegin() {
         return !last && (begun < MOST_COMMANDS || isPartial() || front.isClosing());
     }
 
-    /** Whether the last exchange waits for more commands. */
+    /** Returns whether the last exchange waits for more commands. */
     private boolean isPartial() {
         return !inOrder.isEmpty() && !inOrder.peekLast().isWhole();
     }
 
-    /** Enters the state that it is in now. */
+    /** Enters the state that follows from the exchanges, the input and the output of the connection. */
     private void settle() {
         if (state == State.END || isClosed()) {
             return;
         }
-        boolean first = state == State.FIRST_COMMAND; // it stays so until a whole command has come
+        boolean first = state == State.FIRST_COMMAND; // kept until a whole command has arrived
         boolean answered = inOrder.isEmpty();
         enter(
                 !isFlushed()
@@ -160,7 +177,7 @@
     }
 
     private void enter(State next) {
-        // Told each time: of a first command the half may have come since.
+        // Reported even if the state is unchanged: part of a first command may have arrived since.
         front.room().enters(kept, next == State.FIRST_COMMAND && half ? Phase.HALF : next.phase, loop().now());
         if (next == state) {
             return;
@@ -169,7 +186,7 @@
         since = loop().now();
         loop().cancel(limit);
         limit = switch (next) {
-            case ANSWER -> null; // the core has a deadline for it, or the next round takes what waits
+            case ANSWER -> null; // the core has its own deadline, or the next round takes the waiting commands
             case FIRST_COMMAND, REST_OF_COMMAND -> loop().after(COMMAND_NANOS, this::overstayed);
             case READER -> loop().after(front.readNanos(), this::overstayed);
             case NEXT_COMMAND -> loop().after(front.room().mostIdleNanos(), this::overstayed);
@@ -181,16 +198,17 @@
     }
 
     /**
-     * Guards against connections that are held by half a command, by silence, or by not reading. What lies unread in the
-     * system is looked at first: a command that came just before the deadline is one like any other.
+     * Called when the deadline of the current state has passed. Guards against connections that are held by a
+     * partial command, by silence, or by not reading answers. Bytes still unread in the operating system are read
+     * first, so that a command that arrived just before the deadline is served.
      */
     void overstayed() {
         if (state == State.READER && handedBytes() != handed) {
-            // Guards those that read a long value slowly: they are stuck only when they take nothing at all.
+            // A user agent that reads a long value slowly is stuck only when it takes nothing at all.
             handed = handedBytes();
             limit = loop().after(front.readNanos(), this::overstayed);
         } else if (state == State.READER) {
-            loop().log().line("user-agent-stuck", "answers were not read; the connection was closed");
+            loop().log().line("user-agent-stuck", "user agent did not read its answers in time; connection closed");
             cutShort(Cause.UNREAD);
         } else if (state == State.END) {
             cutShort();
@@ -198,7 +216,7 @@
             Deadline due = limit;
             poll();
             if (isClosed() || limit != due) {
-                return; // it waits for something else now
+                return; // the read has changed the state
             }
             if (half || isPartial()) {
                 giveUpRest();
@@ -208,21 +226,21 @@
         }
     }
 
-    /** Looks whether anything has come since the selector last told; whether nothing has. */
+    /** Reads what has arrived since the selector last reported. Returns whether nothing has. */
     private boolean isQuiet() {
         Deadline before = limit;
         poll();
         return !isClosed() && limit == before && !half;
     }
 
-    /** Ends a spare connection, unless it turns out that a command has come. */
+    /** Ends a surplus connection, unless a command turns out to have arrived on it. */
     void giveWay() {
         if (isQuiet()) {
             endQuietly(Cause.ROOM);
         }
     }
 
-    /** Cuts one short that is ending, or of no more use. */
+    /** Closes the connection at once. */
     void cutShort() {
         breakOff();
     }
@@ -232,14 +250,15 @@
         breakOff();
     }
 
-    /** Guards against those that hold a connection by half a command. */
+    /** Ends a connection on which part of a command has arrived and the rest has not. */
     void giveUpRest() {
         malformed(new MalformedException("the rest of a command did not come"));
     }
 
     /**
-     * Ends the sending between requests and reads on until the user agent ends too. Guards a command that crosses this: a
-     * plain close would answer it with a reset, and its user agent could not tell whether it was read.
+     * Shuts down the output between requests and reads on until the user agent closes too. With a plain close, a
+     * command already under way would be answered with a reset, and its user agent could not tell whether the
+     * command was read.
      */
     private void endQuietly(Cause why) {
         cause = why;
@@ -270,7 +289,7 @@
                 front.room().asksFor(kept, current.tenant());
             }
         } catch (MalformedException e) {
-            inOrder.pollLast().withdraw(); // its one answer is the error
+            inOrder.pollLast().withdraw(); // the error is the only answer of the exchange
             throw e;
         }
         flushAnswers();
@@ -304,8 +323,9 @@
     public void bytes(ByteBuffer bytes) {
         ByteBuffer kept = ByteBuffer.allocate(bytes.remaining()).put(bytes).flip();
         write(kept);
-        // Guards against one that stops reading within a long answer: it has a deadline too, and counts against the
-        // bound.
+        // A user agent that stops reading within a long answer has a deadline too, and its unread bytes count against
+        // the
+        // limit.
         settle();
         if (state == State.READER) {
             front.boundUnread();
@@ -326,8 +346,8 @@
     }
 
     /**
-     * The user agent can tell by the end of its connection that the value is not whole. That end comes behind what is written
-     * already: answers ahead of the value may wait there for a user agent that reads slowly.
+     * Ends the connection, which tells the user agent that the value is incomplete. The connection ends after the
+     * bytes already queued, as these may contain earlier answers to a user agent that reads slowly.
      */
     @Override
     public void cut() {
@@ -349,18 +369,21 @@
         closeWhenDone();
     }
 
-    /** Closes between requests; a little later, as commands may lie behind the one just answered. */
+    /**
+     * Closes the connection if it is to end and is between requests. Closes in a later event of the loop, as further
+     * commands may follow the one just answered.
+     */
     void closeWhenDone() {
         if (front.isClosing() || last) {
             long young = state == State.FIRST_COMMAND && !last ? since + FIRST_NANOS - loop().now() : 0;
             if (young > 0) {
-                // Guards a first command that is on its way: its user agent would have to come once more.
+                // Waits for a first command that may be under way: its user agent would have to connect again.
                 loop().after(young, this::closeWhenDone);
                 return;
             }
             loop().after(0, () -> {
                 if (!front.isClosing() && !last) {
-                    return; // taken back meanwhile
+                    return; // the shutdown was revoked in the meantime
                 }
                 if (inOrder.isEmpty() && isFlushed() && !isClosed() && state != State.END) {
                     if (last) {
@@ -375,7 +398,7 @@
         }
     }
 
-    /** Takes no further command: what comes now its user agent sends once more, elsewhere. */
+    /** Takes no further command; the user agent sends later commands again to another router. */
     void finish() {
         if (state != State.END && !last) {
             takeNoMore(Cause.PLANNED);
@@ -408,7 +431,7 @@
         withdrawAll();
     }
 
-    /** Nothing more is answered here. */
+    /** Withdraws all exchanges in progress; none of them is answered. */
     private void withdrawAll() {
         flowing = null;
         for (Exchange exchange : inOrder) {
--- a/src/main/java/slateseam/router/useragent/package-info.java
+++ b/src/main/java/slateseam/router/useragent/package-info.java
@@ -1,6 +1,8 @@
 /**
- * The user agents' side: accepts connections, reads commands, sends answers in order.
+ * The connections of user agents: accepts connections, reads commands and sends the answers in the order of the
+ * commands.
  *
- * <p>It may use requests, network. It is used by the router and the dialects of further listeners.
+ * <p>This package may use the request and network packages. It is used by the router and by the dialects of further
+ * listeners.
  */
 package slateseam.router.useragent;
