--- a/src/main/java/slateseam/router/pass/HttpOrigin.java
+++ b/src/main/java/slateseam/router/pass/HttpOrigin.java
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public boolean passFence(ByteBuffer in) throws MalformedException {
+    public boolean skipFenceReply(ByteBuffer in) throws MalformedException {
         throw new MalformedException("HTTP/1.1 connections to the origin use no fences");
     }
 
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public Begun begun(ByteBuffer in) throws MalformedException {
+    public LongReplyHead readLongReplyHead(ByteBuffer in) throws MalformedException {
         int start = in.position();
         HttpHead head = HttpHead.read(in);
         int length = head == null || head.status() != 200 || head.isChunked() || head.length() == null
@@ -93,11 +93,11 @@
             in.position(start);
             return null;
         }
-        return new Begun(length, 0, head.keepsAlive());
+        return new LongReplyHead(length, 0, head.keepsAlive());
     }
 
     @Override
-    public boolean passRest(ByteBuffer in, Begun begun) {
+    public boolean skipRest(ByteBuffer in, LongReplyHead head) {
         return true;
     }
 
--- a/src/main/java/slateseam/router/pass/Pass.java
+++ b/src/main/java/slateseam/router/pass/Pass.java
@@ -26,11 +26,11 @@
     /**
      * Gives the pass up at {@link #writtenBy} unless it is written by then; null if the pass has until its timeout.
      */
-    Deadline unwritten;
+    Deadline writeDeadline;
     /** Whether the request has its final answer, so that no further attempt follows. */
     boolean isLast;
     /** Whether the outcome has been reported to the listener. */
-    boolean isTold;
+    boolean isReported;
 
     Pass(
             long ticket,
--- a/src/main/java/slateseam/router/pass/Passes.java
+++ b/src/main/java/slateseam/router/pass/Passes.java
@@ -23,7 +23,7 @@
  */
 public final class Passes {
     /** Timeout of a health probe: 1 s. */
-    private static final long PROBE_NANOS = 1_000_000_000L;
+    private static final long PROBE_TIMEOUT_NANOS = 1_000_000_000L;
 
     private final Loop loop;
     private final Farm farm;
@@ -41,7 +41,7 @@
     private final Map<Long, Pass> left = new HashMap<>();
 
     private final Runnable whenWritten;
-    private boolean obeying;
+    private boolean executing;
 
     /**
      * Creates an empty table.
@@ -75,13 +75,13 @@
         }
         Pass before = left.remove(ticket);
         if (before != null) {
-            tell(c -> c.cut(loop.now(), before));
+            report(c -> c.cut(loop.now(), before));
         }
         Pass pass = new Pass(ticket, attempt, request, server, loop.now(), loop.now() + timeoutNanos, writtenBy);
         byTicket.put(ticket, pass);
         begin(pass, timeoutNanos);
-        if (!pass.isTold && !pass.isWritten() && pass.writtenBy < pass.endsAt) {
-            pass.unwritten = loop.after(pass.writtenBy - loop.now(), () -> stop(pass, Outcome.TIMEOUT));
+        if (!pass.isReported && !pass.isWritten() && pass.writtenBy < pass.endsAt) {
+            pass.writeDeadline = loop.after(pass.writtenBy - loop.now(), () -> stop(pass, Outcome.TIMEOUT));
         }
     }
 
@@ -91,13 +91,15 @@
         if (server == null) {
             listener.happened(new ProbeEnded(serverId, Outcome.MOOT, 0));
         } else {
-            begin(new Pass(-1, 0, null, server, loop.now(), loop.now() + PROBE_NANOS, Long.MAX_VALUE), PROBE_NANOS);
+            begin(
+                    new Pass(-1, 0, null, server, loop.now(), loop.now() + PROBE_TIMEOUT_NANOS, Long.MAX_VALUE),
+                    PROBE_TIMEOUT_NANOS);
         }
     }
 
     private void begin(Pass pass, long timeoutNanos) {
         pass.timeout = loop.after(timeoutNanos, () -> stop(pass, Outcome.TIMEOUT));
-        tell(c -> c.ask(loop.now(), pass));
+        report(c -> c.ask(loop.now(), pass));
     }
 
     /** Cancels an attempt that is in progress; does nothing if the request has no such attempt in progress. */
@@ -124,7 +126,7 @@
     }
 
     private void stop(Pass pass, Outcome outcome) {
-        tell(c -> {
+        report(c -> {
             if (!pass.isProbe() && !pass.isLast) {
                 left.put(pass.ticket, pass);
             }
@@ -138,7 +140,7 @@
     public void closeIdle(long serverId) {
         ApplicationServer server = servers.get(serverId);
         if (server != null) {
-            tell(c -> c.closeIdle(loop.now(), server.pool()));
+            report(c -> c.closeIdle(loop.now(), server.pool()));
         }
     }
 
@@ -151,16 +153,16 @@
             Farm.Entry entry = farm.entry(server.id());
             if (entry == null) {
                 servers.remove(server.id());
-                tell(c -> c.remove(loop.now(), server.pool()));
+                report(c -> c.remove(loop.now(), server.pool()));
             } else {
-                tell(c -> c.ready(loop.now(), server.pool(), entry.isReady()));
+                report(c -> c.ready(loop.now(), server.pool(), entry.isReady()));
             }
         }
     }
 
     /** Sets the maximum number of connections to servers. */
-    public void bound(int mostConnections) {
-        tell(c -> c.bound(loop.now(), mostConnections));
+    public void bound(int maxConnections) {
+        report(c -> c.bound(loop.now(), maxConnections));
     }
 
     /** Returns whether the farm currently lists a server as the origin. */
@@ -187,22 +189,22 @@
      * Reports an event to {@link ServerConnections} and carries out the orders that follow from it. A nested call
      * only reports the event; the outermost call carries out the orders.
      */
-    void tell(Consumer<ServerConnections> happening) {
-        happening.accept(connections);
-        if (obeying) {
+    void report(Consumer<ServerConnections> event) {
+        event.accept(connections);
+        if (executing) {
             return;
         }
-        obeying = true;
+        executing = true;
         try {
             for (Order order; (order = connections.next()) != null; ) {
-                obey(order);
+                execute(order);
             }
         } finally {
-            obeying = false;
+            executing = false;
         }
     }
 
-    private void obey(Order order) {
+    private void execute(Order order) {
         if (order instanceof Order.Carry carry) {
             if (carry.holds()) {
                 byLink.get(carry.link()).carry((Pass) carry.use());
@@ -217,7 +219,7 @@
         } else if (order instanceof Order.Ended ended) {
             end((Pass) ended.use(), new ServerProtocol.Reply(outcome(ended)));
         } else if (order instanceof Order.Wake wake) {
-            loop.after(wake.at() - loop.now(), () -> tell(c -> c.wake(loop.now(), wake.pool())));
+            loop.after(wake.at() - loop.now(), () -> report(c -> c.wake(loop.now(), wake.pool())));
         }
     }
 
@@ -253,7 +255,7 @@
 
     /** Called when all bytes of a pass have been handed to the operating system. */
     void written(Pass pass) {
-        loop.cancel(pass.unwritten);
+        loop.cancel(pass.writeDeadline);
         if (!pass.isProbe()) {
             whenWritten.run();
         }
@@ -273,12 +275,12 @@
      * value comes no longer affects the pass.
      */
     void end(Pass pass, ServerProtocol.Reply reply, Answer served) {
-        if (pass.isTold) {
+        if (pass.isReported) {
             return;
         }
-        pass.isTold = true;
+        pass.isReported = true;
         loop.cancel(pass.timeout);
-        loop.cancel(pass.unwritten);
+        loop.cancel(pass.writeDeadline);
         long duration = loop.now() - pass.begunAt;
         if (pass.isProbe()) {
             listener.happened(new ProbeEnded(pass.server.id(), reply.outcome(), duration));
@@ -302,12 +304,12 @@
         if (server == null || !server.address().equals(entry.address())) {
             ApplicationServer before = server;
             if (before != null) {
-                tell(c -> c.remove(loop.now(), before.pool()));
+                report(c -> c.remove(loop.now(), before.pool()));
             }
             server = ApplicationServer.of(entry, connections);
             servers.put(id, server);
-            ApplicationServer met = server;
-            tell(c -> c.ready(loop.now(), met.pool(), entry.isReady()));
+            ApplicationServer created = server;
+            report(c -> c.ready(loop.now(), created.pool(), entry.isReady()));
         }
         return server;
     }
--- a/src/main/java/slateseam/router/pass/RespServer.java
+++ b/src/main/java/slateseam/router/pass/RespServer.java
@@ -19,14 +19,14 @@
     private static final byte[] CLIENT = Bytes.of("*1\r\n$6\r\nCLIENT\r\n");
     private static final Pattern ERROR = Pattern.compile("[A-Z]{2,}( .*)?");
     /** The items of a reply that are read: the value, and a word about the state of the fetch. */
-    private static final int NEEDED_ITEMS = 2;
+    private static final int PARSED_ITEMS = 2;
 
     private static final byte[] LINE_END = Bytes.of("\r\n");
     /**
      * Maximum framing of a bulk string in bytes: a dollar sign, up to ten digits and two line ends of two bytes
      * each.
      */
-    private static final int MOST_ROUND_ITEM = 15;
+    private static final int MAX_FRAMING_BYTES = 15;
 
     @Override
     public ByteBuffer[] command(Request request, long waitMillis) {
@@ -35,7 +35,7 @@
                         + request.key().length
                         + request.id().length
                         + facts.length
-                        + (request.isWrite() ? 4 : 3) * MOST_ROUND_ITEM)
+                        + (request.isWrite() ? 4 : 3) * MAX_FRAMING_BYTES)
                 .put(request.isWrite() ? SET : GET);
         item(head, request.key());
         item(head, request.id());
@@ -68,7 +68,7 @@
 
     /** Accepts any simple string or error, as servers that do not know the command answer it with an error. */
     @Override
-    public boolean passFence(ByteBuffer in) throws MalformedException {
+    public boolean skipFenceReply(ByteBuffer in) throws MalformedException {
         Resp.Value reply = Resp.reply(in, 0);
         if (reply != null && reply.type() != '+' && reply.type() != '-') {
             throw new MalformedException(
@@ -81,7 +81,7 @@
     public Reply reply(ByteBuffer in) throws MalformedException {
         // Parses only the items that are used, so that an unreadable load report behind them, which the router does
         // not read, cannot invalidate a good reply.
-        Resp.Value reply = Resp.reply(in, NEEDED_ITEMS);
+        Resp.Value reply = Resp.reply(in, PARSED_ITEMS);
         if (reply == null) {
             return null;
         }
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public Begun begun(ByteBuffer in) throws MalformedException {
+    public LongReplyHead readLongReplyHead(ByteBuffer in) throws MalformedException {
         int start = in.position();
         int items = Resp.head(in, '*');
         int length = items > 0 ? Resp.head(in, '$') : -1;
@@ -101,12 +101,12 @@
             in.position(start);
             return null;
         }
-        return new Begun(length, items - 1, true);
+        return new LongReplyHead(length, items - 1, true);
     }
 
     @Override
-    public boolean passRest(ByteBuffer in, Begun begun) throws MalformedException {
-        return Resp.passEnd(in, begun.items());
+    public boolean skipRest(ByteBuffer in, LongReplyHead head) throws MalformedException {
+        return Resp.passEnd(in, head.items());
     }
 
     /** Rejects garbage that happens to begin with a minus sign: an error reply starts with a word in capitals. */
--- a/src/main/java/slateseam/router/pass/ServerConnection.java
+++ b/src/main/java/slateseam/router/pass/ServerConnection.java
@@ -27,18 +27,18 @@
      * How long the rest of a reply may take once a part of it has arrived. The limit is shorter than a latency
      * target, so that there is time for another pass.
      */
-    private static final long REST_NANOS = 250 * Clock.MILLI;
+    private static final long REPLY_REST_TIMEOUT_NANOS = 250 * Clock.MILLI;
 
     /** Maximum size of the pieces in which a long value is passed on. */
-    private static final int PIECE = 16 * 1024;
+    private static final int MAX_PIECE_BYTES = 16 * 1024;
 
     /** How long a long value may make no progress before the connection is closed. */
-    private static final long STALLED_NANOS = 4_000 * Clock.MILLI;
+    private static final long STALL_TIMEOUT_NANOS = 4_000 * Clock.MILLI;
     /**
      * How many leading bytes of a reply are compared with the previous reply. A reply that equals the previous one
      * in these bytes and in length counts as a possible duplicate.
      */
-    private static final int COMPARED = 256;
+    private static final int COMPARED_BYTES = 256;
 
     private final Passes passes;
     private final ApplicationServer server;
@@ -54,11 +54,11 @@
     private long lastBytes;
     private byte[] lastKey;
     /** Deadline of the current phase: of connecting, or of receiving the rest of a reply. */
-    private Deadline limit;
+    private Deadline deadline;
 
     private boolean partial;
     /** The long value being received; null if none is. */
-    private LongValue coming;
+    private LongValue streaming;
 
     ServerConnection(Loop loop, Passes passes, ApplicationServer server, Link link, long connectNanos)
             throws IOException {
@@ -66,7 +66,7 @@
         this.passes = passes;
         this.server = server;
         this.link = link;
-        limit = loop.after(connectNanos, this::breakOff);
+        deadline = loop.after(connectNanos, this::breakOff);
     }
 
     /** Writes a pass behind the outstanding ones, unless a read beforehand shows that the connection is unusable. */
@@ -87,10 +87,10 @@
 
     /** Closes the connection, with all passes outstanding on it. */
     void end() {
-        loop().cancel(limit);
+        loop().cancel(deadline);
         close();
-        if (coming != null) {
-            coming.cut();
+        if (streaming != null) {
+            streaming.cut();
         }
     }
 
@@ -98,8 +98,8 @@
     protected void connected() {
         up = true;
         upAt = loop().now();
-        loop().cancel(limit);
-        passes.tell(connections -> connections.up(loop().now(), link));
+        loop().cancel(deadline);
+        passes.report(connections -> connections.up(loop().now(), link));
     }
 
     @Override
@@ -118,7 +118,7 @@
         try {
             while (!isClosed()
                     && link.isOpen()
-                    && (coming == null ? takeOne(in) : coming.take(in))
+                    && (streaming == null ? takeReply(in) : streaming.take(in))
                     && in.hasRemaining()) {
                 // Continues with the next reply.
             }
@@ -128,17 +128,17 @@
     }
 
     @Override
-    protected void ended(ByteBuffer left) throws MalformedException {
+    protected void ended(ByteBuffer remainingBytes) throws MalformedException {
         Pass first = awaited.peek();
-        boolean may = first != null && !first.isProbe() && coming == null && held == null && link.isOpen();
-        ServerProtocol.Reply reply = may ? server.protocol().replyAtEnd(left) : null;
+        boolean expectsReply = first != null && !first.isProbe() && streaming == null && held == null && link.isOpen();
+        ServerProtocol.Reply reply = expectsReply ? server.protocol().replyAtEnd(remainingBytes) : null;
         if (reply != null) {
-            answered(reply, left.hasRemaining());
+            answered(reply, remainingBytes.hasRemaining());
         }
     }
 
     /** Takes one reply from the buffer, or the head of a long one. Returns false if more bytes are needed first. */
-    private boolean takeOne(ByteBuffer in) throws MalformedException {
+    private boolean takeReply(ByteBuffer in) throws MalformedException {
         Pass first = awaited.peek();
         if (first == null) {
             throw new MalformedException("reply received while no request is outstanding");
@@ -149,11 +149,11 @@
         }
         int start = in.position();
         if (held == null && !first.isProbe() && first.request.streams() && first.isWritten() && !first.isGivenUp()) {
-            ServerProtocol.Begun begun = protocol.begun(in);
-            if (begun != null) {
+            ServerProtocol.LongReplyHead head = protocol.readLongReplyHead(in);
+            if (head != null) {
                 awaitRest(false);
-                coming = new LongValue(first, begun);
-                coming.begin();
+                streaming = new LongValue(first, head);
+                streaming.begin();
                 return true;
             }
         }
@@ -188,7 +188,7 @@
      * fence.
      */
     private boolean takeFence(ByteBuffer in) throws MalformedException {
-        if (!server.protocol().passFence(in)) {
+        if (!server.protocol().skipFenceReply(in)) {
             return false;
         }
         awaitRest(false);
@@ -202,7 +202,7 @@
 
     /** Returns whether a reply equals the previous one, so that a fence must show that it is no duplicate of that. */
     private boolean repeats(ByteBuffer answer, Pass pass) {
-        byte[] compared = new byte[Math.min(COMPARED, answer.limit())];
+        byte[] compared = new byte[Math.min(COMPARED_BYTES, answer.limit())];
         answer.get(compared);
         long bytes = Hash.of(compared) * 31 + answer.limit();
         byte[] key = pass.isProbe() ? null : pass.request.key();
@@ -218,7 +218,7 @@
         boolean givenUp = pass.isGivenUp();
         boolean reusable = reply.reusable() && pass.isWritten();
         // Frees the connection before the outcome is reported, so that requests sent as a result can use it at once.
-        passes.tell(connections -> {
+        passes.report(connections -> {
             connections.answered(loop().now(), link, reusable, more);
             if (!givenUp) {
                 passes.end(pass, reply);
@@ -230,15 +230,16 @@
      * Starts or stops the deadline for the rest of a reply. Guards against replies that never end: the pass fails
      * well before its own timeout.
      */
-    private void awaitRest(boolean begun) {
-        if (begun && !partial) {
-            loop().cancel(limit);
-            limit = loop().after(
-                            REST_NANOS, () -> malformed(new MalformedException("the rest of an answer did not come")));
-        } else if (!begun && partial) {
-            loop().cancel(limit);
+    private void awaitRest(boolean started) {
+        if (started && !partial) {
+            loop().cancel(deadline);
+            deadline = loop().after(
+                            REPLY_REST_TIMEOUT_NANOS,
+                            () -> malformed(new MalformedException("the rest of an answer did not come")));
+        } else if (!started && partial) {
+            loop().cancel(deadline);
         }
-        partial = begun;
+        partial = started;
     }
 
     /**
@@ -247,32 +248,32 @@
      */
     private final class LongValue implements Incoming {
         private final Pass pass;
-        private final ServerProtocol.Begun begun;
-        private int left;
+        private final ServerProtocol.LongReplyHead head;
+        private int remainingBytes;
         private Taker taker;
-        private boolean over;
-        private Deadline stalled;
+        private boolean finished;
+        private Deadline stallDeadline;
 
-        LongValue(Pass pass, ServerProtocol.Begun begun) {
+        LongValue(Pass pass, ServerProtocol.LongReplyHead head) {
             this.pass = pass;
-            this.begun = begun;
-            this.left = begun.length();
+            this.head = head;
+            this.remainingBytes = head.length();
         }
 
         void begin() {
             passes.end(pass, new ServerProtocol.Reply(Outcome.OK), new Answer.Streamed(this));
-            awaitMore();
+            restartStallDeadline();
         }
 
         @Override
         public int length() {
-            return begun.length();
+            return head.length();
         }
 
         @Override
         public void to(Taker by) {
             taker = by;
-            if (over) {
+            if (finished) {
                 by.cut(); // the value broke off while earlier answers to the user agent were pending
             }
             more();
@@ -280,50 +281,51 @@
 
         @Override
         public void more() {
-            if (!over && taker != null && taker.wantsMore()) {
+            if (!finished && taker != null && taker.wantsMore()) {
                 pause(false);
-                awaitMore();
+                restartStallDeadline();
             }
         }
 
         @Override
         public void stop() {
             taker = null;
-            if (!over) {
+            if (!finished) {
                 finish();
-                passes.tell(connections -> connections.giveUp(loop().now(), pass, false));
+                passes.report(connections -> connections.giveUp(loop().now(), pass, false));
             }
         }
 
         /** Passes on the bytes received. Returns whether the reply is complete and the next one can be read. */
         boolean take(ByteBuffer in) throws MalformedException {
-            while (left > 0 && in.hasRemaining()) {
+            while (remainingBytes > 0 && in.hasRemaining()) {
                 if (taker == null || !taker.wantsMore()) {
-                    loop().cancel(stalled);
+                    loop().cancel(stallDeadline);
                     pause(true);
                     return false;
                 }
-                ByteBuffer part = in.slice(in.position(), Math.min(Math.min(left, PIECE), in.remaining()));
+                ByteBuffer part =
+                        in.slice(in.position(), Math.min(Math.min(remainingBytes, MAX_PIECE_BYTES), in.remaining()));
                 in.position(in.position() + part.limit());
-                left -= part.limit();
+                remainingBytes -= part.limit();
                 taker.bytes(part);
-                if (over) {
+                if (finished) {
                     return false;
                 }
             }
-            awaitMore();
-            if (left == 0 && taker != null) {
+            restartStallDeadline();
+            if (remainingBytes == 0 && taker != null) {
                 Taker by = taker;
                 taker = null; // what follows the value does not concern the taker
                 by.whole();
             }
-            if (left > 0 || isClosed() || !server.protocol().passRest(in, begun)) {
+            if (remainingBytes > 0 || isClosed() || !server.protocol().skipRest(in, head)) {
                 return false;
             }
             finish();
-            coming = null;
+            streaming = null;
             awaited.remove();
-            passes.tell(connections -> connections.answered(loop().now(), link, begun.reusable(), in.hasRemaining()));
+            passes.report(connections -> connections.answered(loop().now(), link, head.reusable(), in.hasRemaining()));
             return true;
         }
 
@@ -331,19 +333,19 @@
          * Restarts the stall deadline, which runs while more is requested: guards against a server that stops in
          * mid-reply.
          */
-        private void awaitMore() {
-            loop().cancel(stalled);
-            stalled = over ? null : loop().after(STALLED_NANOS, ServerConnection.this::breakOff);
+        private void restartStallDeadline() {
+            loop().cancel(stallDeadline);
+            stallDeadline = finished ? null : loop().after(STALL_TIMEOUT_NANOS, ServerConnection.this::breakOff);
         }
 
         private void finish() {
-            over = true;
-            loop().cancel(stalled);
+            finished = true;
+            loop().cancel(stallDeadline);
         }
 
         /** Called when the connection has ended, or when a malformed reply made it unusable. */
         void cut() {
-            if (!over) {
+            if (!finished) {
                 finish();
                 if (taker != null) {
                     taker.cut();
@@ -359,11 +361,11 @@
     protected void malformed(MalformedException e) {
         loop().log().line("server-malformed", server.address() + ": " + e.getMessage());
         Pass first = awaited.peek();
-        if (coming != null) {
+        if (streaming != null) {
             breakOff();
             return;
         }
-        passes.tell(connections -> {
+        passes.report(connections -> {
             if (first == null) {
                 connections.noise(loop().now(), link);
                 return;
@@ -378,12 +380,12 @@
 
     @Override
     protected void broken() {
-        loop().cancel(limit);
-        if (coming != null) {
-            coming.cut();
+        loop().cancel(deadline);
+        if (streaming != null) {
+            streaming.cut();
         }
         passes.gone(link);
-        passes.tell(connections -> {
+        passes.report(connections -> {
             if (up) {
                 connections.broken(loop().now(), link);
             } else {
--- a/src/main/java/slateseam/router/pass/ServerProtocol.java
+++ b/src/main/java/slateseam/router/pass/ServerProtocol.java
@@ -39,7 +39,7 @@
      *
      * @throws MalformedException if the bytes received cannot be the reply to a fence
      */
-    boolean passFence(ByteBuffer in) throws MalformedException;
+    boolean skipFenceReply(ByteBuffer in) throws MalformedException;
 
     /** Reads the reply to a request. Returns null and leaves the buffer unchanged while the reply is incomplete. */
     Reply reply(ByteBuffer in) throws MalformedException;
@@ -67,18 +67,18 @@
      * @param items the number of items of the reply that follow the value and its terminator
      * @param reusable whether the connection can carry another pass after the reply
      */
-    record Begun(int length, int items, boolean reusable) {}
+    record LongReplyHead(int length, int items, boolean reusable) {}
 
     /**
      * Reads the beginning of a reply with a long value. Returns null and leaves the buffer unchanged for any other
      * reply.
      */
-    Begun begun(ByteBuffer in) throws MalformedException;
+    LongReplyHead readLongReplyHead(ByteBuffer in) throws MalformedException;
 
     /**
      * Skips what follows a long value. Returns false and leaves the buffer unchanged while that part is incomplete.
      */
-    boolean passRest(ByteBuffer in, Begun begun) throws MalformedException;
+    boolean skipRest(ByteBuffer in, LongReplyHead head) throws MalformedException;
 
     /** Reads the reply to a probe. Returns null and leaves the buffer unchanged while the reply is incomplete. */
     Reply probeReply(ByteBuffer in) throws MalformedException;
--- a/src/test/java/slateseam/simulate/PlantedBug.java
+++ b/src/test/java/slateseam/simulate/PlantedBug.java
@@ -50,7 +50,10 @@
                         List.of(
                                 change(ROUTER + "pass/Passes", "|| !farm.entry(serverId).isReady()", ""),
                                 change(ROUTER + "pass/Passes", "server.pool(), entry.isReady()", "server.pool(), true"),
-                                change(ROUTER + "pass/Passes", "met.pool(), entry.isReady()", "met.pool(), true"),
+                                change(
+                                        ROUTER + "pass/Passes",
+                                        "created.pool(), entry.isReady()",
+                                        "created.pool(), true"),
                                 change(
                                         UPSTREAM_SERVER,
                                         "boolean ready() { return member.isReady(); }",
