--- a/src/main/java/slateseam/router/useragent/Acceptor.java
+++ b/src/main/java/slateseam/router/useragent/Acceptor.java
@@ -19,7 +19,7 @@
     /** How long accepting pauses (50 ms) when there is no room for a connection or accepting has failed. */
     private static final long PAUSE_NANOS = 50_000_000L;
     /** Maximum number of connections accepted in one round of the loop. */
-    private static final int MOST_AT_ONCE = 64;
+    private static final int MAX_ACCEPTS_PER_ROUND = 64;
 
     /** Takes the accepted connections and limits their number. */
     public interface Gate {
@@ -136,12 +136,12 @@
     }
 
     private void accept() {
-        accept(MOST_AT_ONCE);
+        accept(MAX_ACCEPTS_PER_ROUND);
     }
 
-    private void accept(int most) {
+    private void accept(int max) {
         try {
-            for (int i = 0; i < most; i++) {
+            for (int i = 0; i < max; i++) {
                 if (!gate.makeRoom()) {
                     loop.log()
                             .line(
--- a/src/main/java/slateseam/router/useragent/Commands.java
+++ b/src/main/java/slateseam/router/useragent/Commands.java
@@ -21,7 +21,7 @@
 
     @Override
     public Exchange exchange(Runnable ready) {
-        return new Single(ready);
+        return new SingleCommand(ready);
     }
 
     /** Returns the name of a command in upper case. */
@@ -29,7 +29,7 @@
         return Bytes.text(command.get(0)).toUpperCase(Locale.ROOT);
     }
 
-    private final class Single extends Exchange {
+    private final class SingleCommand extends Exchange {
         private final Requests.Open asked = new Requests.Open() {
             @Override
             protected void answered(Answer answer) {
@@ -46,7 +46,7 @@
             }
         };
 
-        Single(Runnable ready) {
+        SingleCommand(Runnable ready) {
             super(ready);
         }
 
@@ -54,11 +54,11 @@
         public void take(List<ByteBuffer> command) {
             String name = name(command);
             boolean write = name.equals("CACHE.SET");
-            ByteBuffer[] atOnce = write || name.equals("CACHE.GET")
+            ByteBuffer[] immediateReply = write || name.equals("CACHE.GET")
                     ? requests.take(command, write, asked)
                     : Replies.other(name, lifecycle.answersPing());
-            if (atOnce != null) {
-                finish(atOnce);
+            if (immediateReply != null) {
+                finish(immediateReply);
             }
         }
 
--- a/src/main/java/slateseam/router/useragent/Replies.java
+++ b/src/main/java/slateseam/router/useragent/Replies.java
@@ -12,10 +12,10 @@
      * Maximum framing of a bulk string in bytes: a dollar sign, up to ten digits and two line ends of two bytes
      * each.
      */
-    private static final int MOST_ROUND_VALUE = 15;
+    private static final int MAX_FRAMING_BYTES = 15;
 
     /** Maximum length in bytes of a value that is copied into one buffer with its framing. */
-    private static final int MOST_COPIED = 4 * 1024;
+    private static final int MAX_COPIED_BYTES = 4 * 1024;
 
     private Replies() {}
 
@@ -33,7 +33,7 @@
 
     /** Encodes the head of a value of the given length in bytes; {@link #end} follows the value. */
     static ByteBuffer head(int length) {
-        return Bytes.putNumber(ByteBuffer.allocate(MOST_ROUND_VALUE).put((byte) '$'), length)
+        return Bytes.putNumber(ByteBuffer.allocate(MAX_FRAMING_BYTES).put((byte) '$'), length)
                 .put(LINE_END)
                 .flip();
     }
@@ -45,8 +45,8 @@
 
     /** Encodes a value. A short value is copied, so that only one buffer has to be kept and written. */
     private static ByteBuffer[] value(byte[] value) {
-        boolean copied = value.length <= MOST_COPIED;
-        ByteBuffer head = ByteBuffer.allocate(MOST_ROUND_VALUE + (copied ? value.length : 0));
+        boolean copied = value.length <= MAX_COPIED_BYTES;
+        ByteBuffer head = ByteBuffer.allocate(MAX_FRAMING_BYTES + (copied ? value.length : 0));
         Bytes.putNumber(head.put((byte) '$'), value.length).put(LINE_END);
         return copied
                 ? new ByteBuffer[] {head.put(value).put(LINE_END).flip()}
--- a/src/main/java/slateseam/router/useragent/Requests.java
+++ b/src/main/java/slateseam/router/useragent/Requests.java
@@ -60,15 +60,15 @@
     /**
      * Creates an empty table.
      *
-     * @param mostHeld the maximum number of requests that the core holds
+     * @param maxHeld the maximum number of requests that the core holds
      */
-    public Requests(Intake core, Versions versions, int mostHeld) {
+    public Requests(Intake core, Versions versions, int maxHeld) {
         this.core = core;
         this.versions = versions;
         this.tenants = versions.current().settings().tenants().stream()
                 .map(Tenant::name)
                 .toList();
-        this.open = new Slots<>(mostHeld + 1); // one extra slot for a request that is being refused
+        this.open = new Slots<>(maxHeld + 1); // one extra slot for a request that is being refused
     }
 
     /**
--- a/src/main/java/slateseam/router/useragent/RespFront.java
+++ b/src/main/java/slateseam/router/useragent/RespFront.java
@@ -21,38 +21,38 @@
  */
 public final class RespFront {
     /** Divisor of the heap size that gives the memory limit for answers that user agents do not read: one eighth. */
-    private static final int UNREAD_PART = 8;
+    private static final int UNREAD_HEAP_DIVISOR = 8;
     /** Maximum number of connections that are ended at a time to make room in the table. */
-    private static final int MOST_AT_ONCE = 16;
+    private static final int MAX_ENDED_AT_ONCE = 16;
 
     private final Loop loop;
     private final Slots<UserAgent> userAgents;
     private final UserAgentRoom room;
     /** The current maximum number of connections. */
-    private int most;
+    private int maxOpen;
     /** The longest deadline of any class, in nanoseconds: an answer that is not read within it has become useless. */
     private long readNanos;
 
     private final List<Runnable> whenClosed = new ArrayList<>();
     private final Lifecycle lifecycle;
-    private Deadline look;
+    private Deadline surplusCheck;
     private int listeners;
 
     /**
      * Creates the table of connections.
      *
      * @param longestAnswerNanos the longest deadline of any class, in nanoseconds
-     * @param mostConnections the maximum number of connections, on all listeners together
+     * @param maxConnections the maximum number of connections, on all listeners together
      * @param held how many of these connections user agents hold for their requests
      */
-    public RespFront(Loop loop, Lifecycle lifecycle, long longestAnswerNanos, int mostConnections, int held) {
+    public RespFront(Loop loop, Lifecycle lifecycle, long longestAnswerNanos, int maxConnections, int held) {
         this.loop = loop;
         this.lifecycle = lifecycle;
         this.readNanos = longestAnswerNanos;
-        this.userAgents = new Slots<>(mostConnections);
-        this.most = mostConnections;
-        this.room = new UserAgentRoom(mostConnections, held);
-        lifecycle.whenLeaving(this::leave);
+        this.userAgents = new Slots<>(maxConnections);
+        this.maxOpen = maxConnections;
+        this.room = new UserAgentRoom(maxConnections, held);
+        lifecycle.whenLeaving(this::closeBetweenRequests);
     }
 
     /** Returns the number of open connections. */
@@ -63,13 +63,13 @@
     /**
      * Sets new limits on the number of connections.
      *
-     * @param mostConnections the maximum number of connections; never more than the number given to the constructor
+     * @param maxConnections the maximum number of connections; never more than the number given to the constructor
      * @param held how many of these connections user agents hold for their requests
      */
-    public void bound(int mostConnections, int held) {
-        most = mostConnections;
-        room.bound(mostConnections, held);
-        lookSoon();
+    public void bound(int maxConnections, int held) {
+        maxOpen = maxConnections;
+        room.bound(maxConnections, held);
+        scheduleSurplusCheck();
     }
 
     /** Raises the time that user agents have to read an answer to the given nanoseconds; never lowers it. */
@@ -114,28 +114,28 @@
      * then surplus connections, then connections on which only part of a command has arrived.
      */
     private boolean makeRoom() {
-        for (int i = 0; i < MOST_AT_ONCE && isFull(); i++) {
+        for (int i = 0; i < MAX_ENDED_AT_ONCE && isFull(); i++) {
             Kept kept = room.endingForLongest(loop.now());
             if (kept != null) {
-                agent(kept).cutShort();
+                agent(kept).closeNow();
                 continue;
             }
             kept = room.surplus(loop.now());
             if (kept != null) {
-                agent(kept).giveWay();
+                agent(kept).endIfQuiet();
                 continue;
             }
             kept = room.halfForLongest(loop.now());
             if (kept == null) {
                 break;
             }
-            agent(kept).giveUpRest();
+            agent(kept).endPartialCommand();
         }
         return !isFull();
     }
 
     private boolean isFull() {
-        return userAgents.size() >= most;
+        return userAgents.size() >= maxOpen;
     }
 
     private static UserAgent agent(Kept kept) {
@@ -154,7 +154,7 @@
             }
             UserAgent userAgent = new UserAgent(this, loop, channel, dialect);
             userAgent.begin(userAgents.add(userAgent), room.opened(userAgent, address, listener, loop.now()));
-            lookSoon();
+            scheduleSurplusCheck();
         } catch (IOException e) {
             channel.close();
             throw e;
@@ -162,23 +162,23 @@
     }
 
     /** Schedules a check for surplus connections, to run when the current event has been handled. */
-    void lookSoon() {
-        if (!isClosing() && look == null && room.lookAgain(loop.now()) != Long.MAX_VALUE) {
-            look = loop.after(0, this::keepWithinRoom);
+    void scheduleSurplusCheck() {
+        if (!isClosing() && surplusCheck == null && room.lookAgain(loop.now()) != Long.MAX_VALUE) {
+            surplusCheck = loop.after(0, this::endSurplus);
         }
     }
 
     /** Ends surplus connections and schedules the next check if another one is due. */
-    private void keepWithinRoom() {
+    private void endSurplus() {
         for (Kept kept; !isClosing() && (kept = room.surplus(loop.now())) != null; ) {
-            agent(kept).giveWay();
+            agent(kept).endIfQuiet();
         }
         long next = isClosing() ? Long.MAX_VALUE : room.lookAgain(loop.now());
-        look = next == Long.MAX_VALUE ? null : loop.after(next - loop.now(), this::keepWithinRoom);
+        surplusCheck = next == Long.MAX_VALUE ? null : loop.after(next - loop.now(), this::endSurplus);
     }
 
     /** Closes every connection as soon as it is between requests. */
-    private void leave() {
+    private void closeBetweenRequests() {
         userAgents.all().forEach(UserAgent::closeWhenDone);
     }
 
@@ -201,18 +201,18 @@
     /**
      * Closes the connections that have not read for longest, until the unread answers fit their share of the heap.
      */
-    void boundUnread() {
+    void limitUnread() {
         List<UserAgent> unread = userAgents.all().stream()
                 .filter(UserAgent::isUnread)
                 .sorted(Comparator.comparingLong(UserAgent::since))
                 .toList();
         long bytes = unread.stream().mapToLong(UserAgent::unwrittenBytes).sum();
         for (UserAgent u : unread) {
-            if (bytes <= loop.heapBytes() / UNREAD_PART) {
+            if (bytes <= loop.heapBytes() / UNREAD_HEAP_DIVISOR) {
                 return;
             }
             bytes -= u.unwrittenBytes();
-            u.overstayed();
+            u.deadlinePassed();
         }
     }
 
--- a/src/main/java/slateseam/router/useragent/UserAgent.java
+++ b/src/main/java/slateseam/router/useragent/UserAgent.java
@@ -20,36 +20,36 @@
 /** One connection of a user agent. Answers are sent in the order of the commands. */
 final class UserAgent extends Connection implements Incoming.Taker {
     /** A streamed value is not read further while this many bytes wait to be handed to the operating system. */
-    private static final int MOST_UNWRITTEN = 64 * 1024;
+    private static final int MAX_UNWRITTEN_BYTES = 64 * 1024;
 
     /** Maximum number of commands that are in progress at a time on one connection. */
-    private static final int MOST_COMMANDS = 16;
+    private static final int MAX_COMMANDS = 16;
     /**
      * Maximum number of commands taken in one round of the loop, however quickly they are answered; further commands
      * wait for the next round.
      */
-    private static final int MOST_IN_A_ROW = 64;
+    private static final int MAX_COMMANDS_PER_ROUND = 64;
     /**
      * Maximum number of bytes read ahead behind commands in progress. Reading ahead detects that the user agent has
      * closed the connection; no further command is begun then.
      */
-    private static final int AHEAD = 256 * 1024;
+    private static final int MAX_READ_AHEAD_BYTES = 256 * 1024;
     /**
      * How long a first command, or the rest of a partly received command, may take: longer than any user agent that
      * waits for an answer needs to send it.
      */
-    private static final long COMMAND_NANOS = 2_500 * Clock.MILLI;
+    private static final long COMMAND_TIMEOUT_NANOS = 2_500 * Clock.MILLI;
     /** How long a new connection may take to send its first command while connections are not kept. */
-    private static final long FIRST_NANOS = 250 * Clock.MILLI;
+    private static final long FIRST_COMMAND_GRACE_NANOS = 250 * Clock.MILLI;
     /** How long the user agent may take to close the connection after the last answer. */
-    private static final long LINGER_NANOS = 1_000 * Clock.MILLI;
+    private static final long LINGER_TIMEOUT_NANOS = 1_000 * Clock.MILLI;
 
     /** What a connection waits for; each state has its own deadline. */
     private enum State {
         FIRST_COMMAND(Phase.SILENT),
         REST_OF_COMMAND(Phase.HALF),
         ANSWER(Phase.BUSY),
-        READER(Phase.BUSY),
+        UNREAD_ANSWER(Phase.BUSY),
         NEXT_COMMAND(Phase.IDLE),
         END(Phase.ENDING);
 
@@ -64,19 +64,19 @@
     private final Dialect dialect;
     private final Deque<Exchange> inOrder = new ArrayDeque<>();
     /** The number of commands taken by the exchanges in progress. */
-    private int begun;
+    private int commandsInProgress;
 
     private long ticket;
     private Kept kept;
-    private boolean last;
+    private boolean takesNoMore;
     /** Whether part of a command has arrived and the rest has not. */
-    private boolean half;
+    private boolean hasPartialCommand;
     /** Whether commands that have arrived wait for the next round of the loop. */
     private boolean yields;
 
     private State state;
     private long since;
-    private Deadline limit;
+    private Deadline deadline;
     /** Why the connection ends; {@link Cause#LEFT} unless this side ends it. */
     private Cause cause = Cause.LEFT;
     /**
@@ -87,17 +87,17 @@
     /** The value being streamed behind the head of the first answer; null if none is. */
     private Incoming flowing;
     /** How many bytes had been handed to the operating system at the last check of the reading progress. */
-    private long handed;
+    private long handedAtLastCheck;
 
     UserAgent(RespFront front, Loop loop, SocketChannel channel, Dialect dialect) throws IOException {
-        super(loop, channel, AHEAD);
+        super(loop, channel, MAX_READ_AHEAD_BYTES);
         this.front = front;
         this.dialect = dialect;
     }
 
-    void begin(long ticketOfIt, Kept keptAs) {
-        ticket = ticketOfIt;
-        kept = keptAs;
+    void begin(long newTicket, Kept newKept) {
+        ticket = newTicket;
+        kept = newKept;
         enter(State.FIRST_COMMAND);
         closeWhenDone(); // applies to silent connections too, while connections are not kept
     }
@@ -107,23 +107,23 @@
     }
 
     boolean isUnread() {
-        return state == State.READER;
+        return state == State.UNREAD_ANSWER;
     }
 
     @Override
     protected void received(ByteBuffer in) throws MalformedException {
         for (int taken = 0; !isClosed() && mayBegin() && isFlushed(); taken++) {
-            if (taken == MOST_IN_A_ROW && in.hasRemaining()) {
-                letOthersGoFirst();
+            if (taken == MAX_COMMANDS_PER_ROUND && in.hasRemaining()) {
+                continueNextRound();
                 return;
             }
             List<ByteBuffer> command = Resp.command(in);
             if (command == null) {
-                half = in.hasRemaining();
-                settle();
+                hasPartialCommand = in.hasRemaining();
+                updateState();
                 return;
             }
-            half = false;
+            hasPartialCommand = false;
             take(command);
         }
         pause(true);
@@ -133,9 +133,9 @@
      * Continues in the next round of the loop, so that a user agent that pipelines many commands does not delay
      * others.
      */
-    private void letOthersGoFirst() {
+    private void continueNextRound() {
         yields = true;
-        settle();
+        updateState();
         pause(true);
         loop().nextRound(() -> {
             yields = false;
@@ -151,7 +151,7 @@
      * at its end.
      */
     private boolean mayBegin() {
-        return !last && (begun < MOST_COMMANDS || isPartial() || front.isClosing());
+        return !takesNoMore && (commandsInProgress < MAX_COMMANDS || isPartial() || front.isClosing());
     }
 
     /** Returns whether the last exchange waits for more commands. */
@@ -160,7 +160,7 @@
     }
 
     /** Enters the state that follows from the exchanges, the input and the output of the connection. */
-    private void settle() {
+    private void updateState() {
         if (state == State.END || isClosed()) {
             return;
         }
@@ -168,32 +168,33 @@
         boolean answered = inOrder.isEmpty();
         enter(
                 !isFlushed()
-                        ? State.READER
+                        ? State.UNREAD_ANSWER
                         : yields || !answered && inOrder.peek().isWhole()
                                 ? State.ANSWER
                                 : answered && first
                                         ? State.FIRST_COMMAND
-                                        : half || !answered ? State.REST_OF_COMMAND : State.NEXT_COMMAND);
+                                        : hasPartialCommand || !answered ? State.REST_OF_COMMAND : State.NEXT_COMMAND);
     }
 
     private void enter(State next) {
         // Reported even if the state is unchanged: part of a first command may have arrived since.
-        front.room().enters(kept, next == State.FIRST_COMMAND && half ? Phase.HALF : next.phase, loop().now());
+        front.room()
+                .enters(kept, next == State.FIRST_COMMAND && hasPartialCommand ? Phase.HALF : next.phase, loop().now());
         if (next == state) {
             return;
         }
         state = next;
         since = loop().now();
-        loop().cancel(limit);
-        limit = switch (next) {
+        loop().cancel(deadline);
+        deadline = switch (next) {
             case ANSWER -> null; // the core has its own deadline, or the next round takes the waiting commands
-            case FIRST_COMMAND, REST_OF_COMMAND -> loop().after(COMMAND_NANOS, this::overstayed);
-            case READER -> loop().after(front.readNanos(), this::overstayed);
-            case NEXT_COMMAND -> loop().after(front.room().mostIdleNanos(), this::overstayed);
-            case END -> loop().after(LINGER_NANOS, this::overstayed);
+            case FIRST_COMMAND, REST_OF_COMMAND -> loop().after(COMMAND_TIMEOUT_NANOS, this::deadlinePassed);
+            case UNREAD_ANSWER -> loop().after(front.readNanos(), this::deadlinePassed);
+            case NEXT_COMMAND -> loop().after(front.room().mostIdleNanos(), this::deadlinePassed);
+            case END -> loop().after(LINGER_TIMEOUT_NANOS, this::deadlinePassed);
         };
         if (next == State.NEXT_COMMAND) {
-            front.lookSoon();
+            front.scheduleSurplusCheck();
         }
     }
 
@@ -202,56 +203,56 @@
      * partial command, by silence, or by not reading answers. Bytes still unread in the operating system are read
      * first, so that a command that arrived just before the deadline is served.
      */
-    void overstayed() {
-        if (state == State.READER && handedBytes() != handed) {
+    void deadlinePassed() {
+        if (state == State.UNREAD_ANSWER && handedBytes() != handedAtLastCheck) {
             // A user agent that reads a long value slowly is stuck only when it takes nothing at all.
-            handed = handedBytes();
-            limit = loop().after(front.readNanos(), this::overstayed);
-        } else if (state == State.READER) {
+            handedAtLastCheck = handedBytes();
+            deadline = loop().after(front.readNanos(), this::deadlinePassed);
+        } else if (state == State.UNREAD_ANSWER) {
             loop().log().line("user-agent-stuck", "user agent did not read its answers in time; connection closed");
-            cutShort(Cause.UNREAD);
+            closeNow(Cause.UNREAD);
         } else if (state == State.END) {
-            cutShort();
+            closeNow();
         } else {
-            Deadline due = limit;
+            Deadline due = deadline;
             poll();
-            if (isClosed() || limit != due) {
+            if (isClosed() || deadline != due) {
                 return; // the read has changed the state
             }
-            if (half || isPartial()) {
-                giveUpRest();
+            if (hasPartialCommand || isPartial()) {
+                endPartialCommand();
             } else {
-                endQuietly(Cause.STALE);
+                endBetweenRequests(Cause.STALE);
             }
         }
     }
 
     /** Reads what has arrived since the selector last reported. Returns whether nothing has. */
     private boolean isQuiet() {
-        Deadline before = limit;
+        Deadline before = deadline;
         poll();
-        return !isClosed() && limit == before && !half;
+        return !isClosed() && deadline == before && !hasPartialCommand;
     }
 
     /** Ends a surplus connection, unless a command turns out to have arrived on it. */
-    void giveWay() {
+    void endIfQuiet() {
         if (isQuiet()) {
-            endQuietly(Cause.ROOM);
+            endBetweenRequests(Cause.ROOM);
         }
     }
 
     /** Closes the connection at once. */
-    void cutShort() {
+    void closeNow() {
         breakOff();
     }
 
-    private void cutShort(Cause why) {
+    private void closeNow(Cause why) {
         cause = why;
         breakOff();
     }
 
     /** Ends a connection on which part of a command has arrived and the rest has not. */
-    void giveUpRest() {
+    void endPartialCommand() {
         malformed(new MalformedException("the rest of a command did not come"));
     }
 
@@ -260,7 +261,7 @@
      * command already under way would be answered with a reset, and its user agent could not tell whether the
      * command was read.
      */
-    private void endQuietly(Cause why) {
+    private void endBetweenRequests(Cause why) {
         cause = why;
         endedIdle = true;
         front.room().ends(kept, why, loop().now());
@@ -280,8 +281,8 @@
         if (!isPartial()) {
             inOrder.add(dialect.exchange(this::flushAnswers));
         }
-        begun++;
-        settle();
+        commandsInProgress++;
+        updateState();
         try {
             Exchange current = inOrder.peekLast();
             current.take(command);
@@ -306,16 +307,16 @@
                 handedOver();
             }
         }
-        settle();
-        if (state == State.READER) {
-            front.boundUnread();
+        updateState();
+        if (state == State.UNREAD_ANSWER) {
+            front.limitUnread();
         }
         closeWhenDone();
     }
 
     private void handedOver() {
         Exchange done = inOrder.poll();
-        begun -= done.commands();
+        commandsInProgress -= done.commands();
         done.handedOver();
     }
 
@@ -326,15 +327,15 @@
         // A user agent that stops reading within a long answer has a deadline too, and its unread bytes count against
         // the
         // limit.
-        settle();
-        if (state == State.READER) {
-            front.boundUnread();
+        updateState();
+        if (state == State.UNREAD_ANSWER) {
+            front.limitUnread();
         }
     }
 
     @Override
     public boolean wantsMore() {
-        return unwrittenBytes() < MOST_UNWRITTEN;
+        return unwrittenBytes() < MAX_UNWRITTEN_BYTES;
     }
 
     @Override
@@ -353,7 +354,7 @@
     public void cut() {
         takeNoMore(Cause.CUT);
         withdrawAll();
-        settle();
+        updateState();
         closeWhenDone();
     }
 
@@ -362,7 +363,7 @@
         if (flowing != null) {
             flowing.more();
         }
-        settle();
+        updateState();
         if (mayBegin() && !yields) {
             pause(false);
         }
@@ -374,24 +375,25 @@
      * commands may follow the one just answered.
      */
     void closeWhenDone() {
-        if (front.isClosing() || last) {
-            long young = state == State.FIRST_COMMAND && !last ? since + FIRST_NANOS - loop().now() : 0;
-            if (young > 0) {
+        if (front.isClosing() || takesNoMore) {
+            long graceNanos =
+                    state == State.FIRST_COMMAND && !takesNoMore ? since + FIRST_COMMAND_GRACE_NANOS - loop().now() : 0;
+            if (graceNanos > 0) {
                 // Waits for a first command that may be under way: its user agent would have to connect again.
-                loop().after(young, this::closeWhenDone);
+                loop().after(graceNanos, this::closeWhenDone);
                 return;
             }
             loop().after(0, () -> {
-                if (!front.isClosing() && !last) {
+                if (!front.isClosing() && !takesNoMore) {
                     return; // the shutdown was revoked in the meantime
                 }
                 if (inOrder.isEmpty() && isFlushed() && !isClosed() && state != State.END) {
-                    if (last) {
+                    if (takesNoMore) {
                         front.room().ends(kept, cause, loop().now());
                         enter(State.END);
                         linger();
                     } else if (!hasInput() && isQuiet()) {
-                        endQuietly(Cause.PLANNED);
+                        endBetweenRequests(Cause.PLANNED);
                     }
                 }
             });
@@ -400,7 +402,7 @@
 
     /** Takes no further command; the user agent sends later commands again to another router. */
     void finish() {
-        if (state != State.END && !last) {
+        if (state != State.END && !takesNoMore) {
             takeNoMore(Cause.PLANNED);
             closeWhenDone();
         }
@@ -408,8 +410,8 @@
 
     private void takeNoMore(Cause why) {
         cause = why;
-        last = true;
-        half = false;
+        takesNoMore = true;
+        hasPartialCommand = false;
         ignoreInput();
         if (isPartial()) {
             inOrder.pollLast().withdraw();
@@ -426,7 +428,7 @@
 
     @Override
     protected void broken() {
-        loop().cancel(limit);
+        loop().cancel(deadline);
         front.forget(ticket, kept, cause);
         withdrawAll();
     }
--- a/src/test/java/slateseam/simulate/PlantedBug.java
+++ b/src/test/java/slateseam/simulate/PlantedBug.java
@@ -203,7 +203,10 @@
                         "does not see an end behind commands that wait",
                         null,
                         null,
-                        List.of(change(ROUTER + "useragent/UserAgent", "AHEAD = 256 * 1024", "AHEAD = 0"))),
+                        List.of(change(
+                                ROUTER + "useragent/UserAgent",
+                                "MAX_READ_AHEAD_BYTES = 256 * 1024",
+                                "MAX_READ_AHEAD_BYTES = 0"))),
                 new PlantedBug(
                         "tells the origin the user agent's whole wait",
                         null,
