--- a/src/main/java/slateseam/router/useragent/Acceptor.java
+++ b/src/main/java/slateseam/router/useragent/Acceptor.java
@@ -143,10 +143,7 @@
         try {
             for (int i = 0; i < max; i++) {
                 if (!gate.makeRoom()) {
-                    loop.log()
-                            .line(
-                                    "user-agents-full",
-                                    "connection limit reached; accepting pauses until a connection can be closed");
+                    loop.log().line("user-agents-full", "connection limit reached; accepting is paused");
                     pause();
                     return;
                 }
--- a/src/test/java/slateseam/router/Recorded.java
+++ b/src/test/java/slateseam/router/Recorded.java
@@ -31,31 +31,53 @@
 import slateseam.router.net.Reader;
 
 /**
- * Plays a recorded exchange against a router, on ephemeral loopback ports and a clock moved by hand. A line is
- * {@code WHO > BYTES} (WHO writes), {@code WHO >> BYTES} (WHO writes in the round of the next step, when the router has
- * looked at its sockets and not yet at its deadlines), {@code WHO < BYTES} (just these come to WHO),
- * {@code WHO is refused} (it cannot connect), {@code WHO closes}, {@code WHO resets}, {@code WHO sees the end}, {@code WHO reads to the end} (past whatever comes before it),
- * {@code WHO stops listening}, {@code WHO listens again}, {@code clock +MS}, {@code end} (a planned end begins), {@code ended}, {@code start}
- * (another router with the same files), {@code log TEXT} (the log has it), {@code log stops}, {@code log goes on} (its
- * reader does), {@code reload OLD => NEW} (the changed configuration or settings file is read again), {@code show the
- * hot list}, {@code stats POINTER VALUE} (the figures say so) or {@code file NAME TEXT} (writes a file of the folder {@code {dir}}); the lines from {@code repeat N} to
- * {@code again} are played N times. Before all others come {@code config OLD => NEW}, which changes the configuration,
- * {@code setting NAME VALUE}, a line of the settings file, {@code given NAME TEXT}, a file that is there at the start,
- * and {@code define NAME TEXT}, which stands for {@code {NAME}} in what follows.
+ * Plays a recorded exchange against a router, on ephemeral loopback ports and with a clock that the exchange
+ * advances. The steps, one a line, are:
  *
- * <p>Where no step names discovery, it tells the router what that knows already, once.
+ * <ul>
+ *   <li>{@code WHO > BYTES}: WHO writes.
+ *   <li>{@code WHO >> BYTES}: WHO writes in the round of the next step, when the router has polled its sockets but has
+ *       not yet run its deadlines.
+ *   <li>{@code WHO < BYTES}: WHO receives exactly these bytes.
+ *   <li>{@code WHO is refused}: WHO cannot connect.
+ *   <li>{@code WHO closes}, {@code WHO resets}: WHO closes or resets its connection.
+ *   <li>{@code WHO sees the end}: WHO receives the end of its connection and nothing before it.
+ *   <li>{@code WHO reads to the end}: WHO receives the end of its connection, whatever comes before it.
+ *   <li>{@code WHO stops listening}, {@code WHO listens again}: WHO closes or opens its listener.
+ *   <li>{@code clock +MS}: advances the clock by MS milliseconds.
+ *   <li>{@code end}: begins a planned shutdown; {@code ended}: the shutdown is complete.
+ *   <li>{@code start}: starts another router with the same files.
+ *   <li>{@code log TEXT}: the log contains TEXT.
+ *   <li>{@code log stops}, {@code log goes on}: the reader of the log stops or continues.
+ *   <li>{@code reload OLD => NEW}: changes the configuration or settings file and has it read again.
+ *   <li>{@code show the hot list}: prints the hot list.
+ *   <li>{@code stats POINTER VALUE}: the statistics have VALUE at the JSON pointer.
+ *   <li>{@code file NAME TEXT}: writes a file in the directory <code>{dir}</code>.
+ *   <li>{@code repeat N} to {@code again}: plays the lines in between N times.
+ * </ul>
  *
- * <p>WHO is a server of the configuration or, with any other name, a user agent, which connects on its first line: to
- * the listener for many values if its name begins with {@code mget}, to the tap with {@code tap}, to the second address
- * with {@code call}. A server takes its
- * next connection when its last one is gone, or under a further name: {@code s1#2} is one more of {@code s1}.
+ * <p>The following lines come before all others:
+ *
+ * <ul>
+ *   <li>{@code config OLD => NEW}: changes the configuration.
+ *   <li>{@code setting NAME VALUE}: adds a line to the settings file.
+ *   <li>{@code given NAME TEXT}: creates a file that exists at the start.
+ *   <li>{@code define NAME TEXT}: TEXT replaces <code>{NAME}</code> in the lines that follow.
+ * </ul>
+ *
+ * <p>If no step names discovery, it sends the router once what the router already knows.
+ *
+ * <p>WHO is a server of the configuration or, with any other name, a user agent. A user agent connects on its first
+ * line: to the multi-get listener if its name begins with {@code mget}, to the tap with {@code tap}, to the second
+ * address with {@code call}. A server accepts its next connection when its last one is gone, or under a further name:
+ * {@code s1#2} is a second connection of {@code s1}.
  */
 final class Recorded {
-    /** A guard against waiting for ever; no test depends on how long a round takes. */
-    private static final int MOST_ROUNDS = 5_000;
+    /** Limits the rounds waited for, so that a test cannot hang; no test depends on how long a round takes. */
+    private static final int MAX_ROUNDS = 5_000;
 
     private static final long MILLI = 1_000_000L;
-    private static final int MOST_STATS = 64 * 1024;
+    private static final int MAX_STATS_BYTES = 64 * 1024;
     private static final Pattern LONG = Pattern.compile("\\{(\\d+) (.)}");
     private static final List<String> SERVERS = List.of("s1", "s2", "origin", "discovery", "discovery2");
 
@@ -107,7 +129,9 @@
         }
     }
 
-    /** A discovery that the exchange says nothing of tells what the router knows already, and then nothing more. */
+    /**
+     * Answers for a discovery service that the exchange does not mention: sends once what the router already knows.
+     */
     private void tellKnown(String list) throws IOException {
         channels.remove("discovery");
         assertThat(read("discovery", WHOLE_LIST.length()))
@@ -134,7 +158,7 @@
         return all;
     }
 
-    /** Writes the settings file, with a change. */
+    /** Writes the settings file with one replacement. */
     private Path settings(String was, String is) throws IOException {
         List<String> lines = new ArrayList<>();
         for (String line : steps) {
@@ -213,7 +237,7 @@
         } else if (words[0].equals("stats")) {
             assertThat(stats().query(words[1])).as(line).hasToString(rest);
         } else if (line.equals("ended")) {
-            for (int i = 0; i < MOST_ROUNDS && !router.loop().isStopped(); i++) {
+            for (int i = 0; i < MAX_ROUNDS && !router.loop().isStopped(); i++) {
                 round();
             }
             assertThat(router.loop().isStopped()).as(line).isTrue();
@@ -228,7 +252,7 @@
             log.stop(line.endsWith("stops"));
         } else if (words[0].equals("log")) {
             String logged = line.substring(4).replace("\\n", "\n");
-            for (int i = 0; i < MOST_ROUNDS && !log.text().contains(logged); i++) {
+            for (int i = 0; i < MAX_ROUNDS && !log.text().contains(logged); i++) {
                 round();
             }
             assertThat(log.text()).contains(logged);
@@ -269,7 +293,7 @@
 
     private JSONObject stats() throws IOException {
         write(channel("call stats"), "GET /stats HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-        String answer = read("call stats", MOST_STATS);
+        String answer = read("call stats", MAX_STATS_BYTES);
         channels.remove("call stats").close();
         return new JSONObject(answer.substring(answer.indexOf('{'), answer.lastIndexOf('}') + 1));
     }
@@ -281,7 +305,7 @@
     private SocketChannel channel(String who) throws IOException {
         SocketChannel channel = channels.get(who);
         String server = who.replaceFirst("#.*", "");
-        for (int i = 0; channel == null && i < MOST_ROUNDS; i++) {
+        for (int i = 0; channel == null && i < MAX_ROUNDS; i++) {
             channel = listeners.containsKey(server) ? listeners.get(server).accept() : connect(who);
             round();
         }
@@ -292,7 +316,7 @@
     }
 
     private SocketChannel connect(String who) throws IOException {
-        for (int i = 0; !router.listens() && i < MOST_ROUNDS; i++) {
+        for (int i = 0; !router.listens() && i < MAX_ROUNDS; i++) {
             round();
         }
         return open(who);
@@ -301,9 +325,10 @@
     private SocketChannel open(String who) throws IOException {
         SocketChannel channel = SocketChannel.open();
         channel.setOption(
-                StandardSocketOptions.TCP_NODELAY, true); // or a second part waits until the first is acknowledged
+                StandardSocketOptions.TCP_NODELAY,
+                true); // otherwise a second part waits for the acknowledgement of the first
         if (who.startsWith("tap")) {
-            channel.setOption(StandardSocketOptions.SO_RCVBUF, 4096); // so that one which does not read is soon full
+            channel.setOption(StandardSocketOptions.SO_RCVBUF, 4096); // fills up soon if the user agent does not read
         }
         channel.connect(
                 who.startsWith("call")
@@ -331,12 +356,12 @@
         }
     }
 
-    /** Reads as many bytes, or up to the end. */
+    /** Reads the given number of bytes, or up to the end of the connection. */
     private String read(String who, int length) throws IOException {
         SocketChannel channel = channel(who);
         ByteBuffer in = ByteBuffer.allocate(length);
         int last = 0;
-        for (int i = 0; last >= 0 && in.hasRemaining() && i < MOST_ROUNDS; i++) {
+        for (int i = 0; last >= 0 && in.hasRemaining() && i < MAX_ROUNDS; i++) {
             round();
             last = channel.read(in);
         }
@@ -352,8 +377,8 @@
     }
 
     /**
-     * The bytes of a line of the file; {@code {9 x}} stands for nine times x, {@code {length}} for the length of what
-     * follows the empty line, {@code {chunk}...{end}} for a chunk of what lies between.
+     * Returns the bytes of a line of the file. {@code {9 x}} stands for x nine times, {@code {length}} for the
+     * length of the body after the empty line, {@code {chunk}...{end}} for an HTTP chunk of the text in between.
      */
     private byte[] bytes(String recorded) throws IOException {
         String plain = LONG.matcher(fill(recorded).replace("\\r", "\r").replace("\\n", "\n"))
--- a/src/test/java/slateseam/router/RecordedExchangesTest.java
+++ b/src/test/java/slateseam/router/RecordedExchangesTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Plays every recorded exchange; each file says what it guards. */
+/** Plays every recorded exchange against a router; each file states which failure it guards against. */
 class RecordedExchangesTest {
     static List<Path> files() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("src/test/resources/exchanges"))) {
--- a/src/test/java/slateseam/router/pass/PassesTest.java
+++ b/src/test/java/slateseam/router/pass/PassesTest.java
@@ -20,6 +20,10 @@
 import slateseam.router.request.Answer;
 import slateseam.router.request.Request;
 
+/**
+ * Tests when proxy passes are written, cut off, ended and counted, with real sockets on the loopback interface and a
+ * clock that the test advances.
+ */
 class PassesTest {
     private static final long SECOND = 1_000_000_000L;
 
@@ -96,7 +100,7 @@
                 Long.MAX_VALUE);
     }
 
-    /** Serves the pass that the server's next connection brings. */
+    /** Accepts the next connection to the server and answers the pass on it. */
     private SocketChannel serve() throws Exception {
         SocketChannel connection = server.accept();
         connection.write(ByteBuffer.wrap("*1\r\n$1\r\nv\r\n".getBytes()));
@@ -152,7 +156,7 @@
         assertThat(told).containsExactly(Outcome.MOOT);
     }
 
-    /** Nothing may be sent on after a request's final answer, nor so late that it could only cross it. */
+    /** Nothing may be sent to a server after the final answer of its request, or just before its timeout. */
     @Test
     void aPassThatIsAnsweredOrNearlyOverIsNotWritten() throws Exception {
         begin(1);
@@ -167,11 +171,14 @@
         assertThat(connection.read(ByteBuffer.allocate(9))).isZero();
     }
 
-    /** A repeat is dropped by the server for a while only: beyond that nothing of it may be sent whole, however late it can be written. */
+    /**
+     * A server recognizes a repeated write only for a limited time. A repeat that cannot be written whole within
+     * that time must not reach the server whole.
+     */
     @Test
     void aRepeatThatCouldBeWrittenOnlyAfterItsWindowIsNotSent() throws Exception {
         passes.begin(1, write(new byte[1]), 0, id, SECOND, now + SECOND / 4);
-        now += SECOND / 4; // its connection comes up just then
+        now += SECOND / 4; // the connection is established only at that time
         awaitOutcome();
         assertThat(told).containsExactly(Outcome.UNSENT);
         loop.round(1_000_000);
@@ -196,7 +203,7 @@
         assertThat(receivedBytes(connection)).isBetween(1L, value.length - 1L);
     }
 
-    /** What a server is told is what is left when the pass is written, not when it was begun. */
+    /** The remaining time sent to the server is computed when the pass is written, not when it was begun. */
     @Test
     void aPassWhoseConnectionComesUpLateTellsTheTimeThatIsLeftThen() throws Exception {
         begin(1);
@@ -204,7 +211,7 @@
         assertThat(text(server.accept(), "d=850")).contains("c=read,d=850\r\n");
     }
 
-    /** The time told is among the first bytes that the system takes, however late it takes the rest. */
+    /** The remaining time is among the first bytes written, however late the operating system takes the rest. */
     @Test
     void aWriteThatTheSystemTakesInPartsHasToldItsTimeWithTheFirst() throws Exception {
         byte[] value = new byte[4 * 1024 * 1024];
@@ -215,7 +222,7 @@
         assertThat(dispatched).isZero();
     }
 
-    /** What has come once it holds a text. */
+    /** Returns the bytes received on a connection as soon as they contain a text. */
     private String text(SocketChannel connection, String awaited) throws Exception {
         connection.configureBlocking(false);
         ByteBuffer in = ByteBuffer.allocate(4096);
@@ -242,7 +249,7 @@
                 false);
     }
 
-    /** How many bytes come up to the end. */
+    /** Returns how many bytes are received up to the end of the connection. */
     private long receivedBytes(SocketChannel connection) throws Exception {
         connection.configureBlocking(true);
         long all = 0;
@@ -253,7 +260,10 @@
         return all;
     }
 
-    /** They are found when the next pass is about to be written, which goes out once, on another connection. */
+    /**
+     * Surplus bytes behind a reply must not be taken for the reply to the next pass. They are detected just before
+     * that pass is written; the pass is then sent once, on another connection.
+     */
     @Test
     void aPassMeetsBytesThatNobodyHasReadYet() throws Exception {
         begin(1);
@@ -273,7 +283,10 @@
         assertThat(told).singleElement().asString().contains("MOOT");
     }
 
-    /** What waits for its connection, or was given up before its last byte, was never written whole; a probe is no attempt. */
+    /**
+     * An attempt that still waits for its connection, or was given up before its last byte, does not count as
+     * written; nor does a probe, which is not an attempt.
+     */
     @Test
     void onlyAnAttemptThatWasWrittenWholeIsCountedAndOnce() throws Exception {
         begin(1);
--- a/src/test/java/slateseam/router/useragent/AcceptorTest.java
+++ b/src/test/java/slateseam/router/useragent/AcceptorTest.java
@@ -13,7 +13,7 @@
 import slateseam.router.net.Log;
 import slateseam.router.net.Loop;
 
-/** How often a listener looks for connections while it cannot take any. */
+/** Tests how often a listener tries to accept connections while there is no room for any. */
 class AcceptorTest {
     private static final long MILLI = 1_000_000L;
     private static final InetSocketAddress ANYWHERE = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -26,7 +26,7 @@
         loop = new Loop(() -> now, new Log("n0", () -> now, line -> {}));
     }
 
-    /** Has no room, though it says again and again that there may be some. */
+    /** A gate without room that repeatedly reports that there may be some. */
     private static final class FullGate implements Acceptor.Gate {
         private final List<Runnable> whenRoom = new ArrayList<>();
         private int asked;
@@ -62,7 +62,10 @@
         }
     }
 
-    /** Each close that made room for a moment left a timer behind, which set the next one: the loop woke ever more often. */
+    /**
+     * Guards against timers that accumulate: each close that made room for a moment used to leave a self-renewing
+     * timer behind, so that the loop woke more and more often.
+     */
     @Test
     void roomThatOpensAndFillsAgainDoesNotMakeTheLoopLookMoreOften() throws Exception {
         Acceptor acceptor = new Acceptor(loop, ANYWHERE, gate);
