--- a/src/main/java/slateseam/router/pass/ServerProtocol.java
+++ b/src/main/java/slateseam/router/pass/ServerProtocol.java
@@ -12,7 +12,7 @@
      * A parsed reply of a server.
      *
      * @param fetching whether the server missed and reports that a fetch of the key is already pending
-     * @param value the value; null unless the outcome is OK and the request asks for a value
+     * @param value the value; null unless the outcome is OK
      * @param reusable whether the connection can carry another pass
      */
     record Reply(Outcome outcome, boolean fetching, byte[] value, boolean reusable) {
--- a/src/main/java/slateseam/router/useragent/RespFront.java
+++ b/src/main/java/slateseam/router/useragent/RespFront.java
@@ -43,7 +43,7 @@
      *
      * @param longestAnswerNanos the longest deadline of any class, in nanoseconds
      * @param maxConnections the maximum number of connections, on all listeners together
-     * @param held how many of these connections user agents hold for their requests
+     * @param held the maximum number of connections that user agents hold for their requests
      */
     public RespFront(Loop loop, Lifecycle lifecycle, long longestAnswerNanos, int maxConnections, int held) {
         this.loop = loop;
@@ -64,7 +64,7 @@
      * Sets new limits on the number of connections.
      *
      * @param maxConnections the maximum number of connections; never more than the number given to the constructor
-     * @param held how many of these connections user agents hold for their requests
+     * @param held the maximum number of connections that user agents hold for their requests
      */
     public void bound(int maxConnections, int held) {
         maxOpen = maxConnections;
--- a/src/main/java/slateseam/router/useragent/UserAgent.java
+++ b/src/main/java/slateseam/router/useragent/UserAgent.java
@@ -44,7 +44,7 @@
     /** How long the user agent may take to close the connection after the last answer. */
     private static final long LINGER_TIMEOUT_NANOS = 1_000 * Clock.MILLI;
 
-    /** What a connection waits for; each state has its own deadline. */
+    /** What a connection waits for; each state but ANSWER has its own deadline. */
     private enum State {
         FIRST_COMMAND(Phase.SILENT),
         REST_OF_COMMAND(Phase.HALF),
