--- a/src/main/java/slateseam/router/pass/HttpOrigin.java
+++ b/src/main/java/slateseam/router/pass/HttpOrigin.java
@@ -10,7 +10,7 @@
 import slateseam.router.request.Facts;
 import slateseam.router.request.Request;
 
-/** HTTP/1.1, as the origin speaks it. */
+/** The HTTP/1.1 protocol of the origin. */
 final class HttpOrigin implements ServerProtocol {
     private final String host;
 
@@ -44,8 +44,8 @@
     }
 
     @Override
-    public boolean passFence(ByteBuffer in) throws MalformedException {
-        throw new MalformedException("there are no fences");
+    public boolean skipFenceReply(ByteBuffer in) throws MalformedException {
+        throw new MalformedException("HTTP/1.1 connections to the origin use no fences");
     }
 
     private StringBuilder head(String method, String path) {
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public Begun begun(ByteBuffer in) throws MalformedException {
+    public LongReplyHead readLongReplyHead(ByteBuffer in) throws MalformedException {
         int start = in.position();
         HttpHead head = HttpHead.read(in);
         int length = head == null || head.status() != 200 || head.isChunked() || head.length() == null
@@ -93,11 +93,11 @@
             in.position(start);
             return null;
         }
-        return new Begun(length, 0, head.keepsAlive());
+        return new LongReplyHead(length, 0, head.keepsAlive());
     }
 
     @Override
-    public boolean passRest(ByteBuffer in, Begun begun) {
+    public boolean skipRest(ByteBuffer in, LongReplyHead head) {
         return true;
     }
 
--- a/src/main/java/slateseam/router/pass/Passes.java
+++ b/src/main/java/slateseam/router/pass/Passes.java
@@ -17,9 +17,13 @@
 import slateseam.router.request.Answer;
 import slateseam.router.request.Request;
 
-/** The proxy passes that are out. Which connection carries each is decided by {@link ServerConnections}. */
+/**
+ * The proxy passes and probes in progress. {@link ServerConnections} decides which connection carries each of them;
+ * this class carries out its orders on real sockets and reports the outcomes to a {@link PassListener}.
+ */
 public final class Passes {
-    private static final long PROBE_NANOS = 1_000_000_000L;
+    /** Timeout of a health probe: 1 s. */
+    private static final long PROBE_TIMEOUT_NANOS = 1_000_000_000L;
 
     private final Loop loop;
     private final Farm farm;
@@ -30,17 +34,20 @@
     private final Map<Long, ApplicationServer> servers = new HashMap<>();
     private final Map<Link, ServerConnection> byLink = new HashMap<>();
     private final Map<Long, Pass> byTicket = new HashMap<>();
-    /** Given up, but perhaps still out on a connection that others share; of requests that may be sent again. */
+    /**
+     * Attempts that were given up but may still be outstanding on a shared connection, by ticket. Holds only
+     * attempts of requests that may be sent again: a further attempt cuts the earlier one off.
+     */
     private final Map<Long, Pass> left = new HashMap<>();
 
     private final Runnable whenWritten;
-    private boolean obeying;
+    private boolean executing;
 
     /**
-     * Creates the table.
+     * Creates an empty table.
      *
-     * @param connectNanos for which a connection may be coming up
-     * @param whenWritten is called for each attempt whose last byte was handed to the system
+     * @param connectNanos the connect timeout, in nanoseconds
+     * @param whenWritten called for each attempt (not for probes) whose last byte was handed to the operating system
      */
     public Passes(Loop loop, Farm farm, PassListener listener, long connectNanos, Bounds bounds, Runnable whenWritten) {
         this.loop = loop;
@@ -55,7 +62,10 @@
     /**
      * Begins an attempt of a request.
      *
-     * @param writtenBy when its last byte must have been handed to the system, on the loop's clock; later it is not sent
+     * @param ticket the number under which the end of the attempt is reported
+     * @param timeoutNanos how long the reply is waited for, in nanoseconds
+     * @param writtenBy by when the last byte must have been handed to the operating system, in nanoseconds on the
+     *     loop's clock; an attempt that is not written by then is given up
      */
     public void begin(long ticket, Request request, int attempt, long serverId, long timeoutNanos, long writtenBy) {
         ApplicationServer server = server(serverId);
@@ -65,32 +75,34 @@
         }
         Pass before = left.remove(ticket);
         if (before != null) {
-            tell(c -> c.cut(loop.now(), before));
+            report(c -> c.cut(loop.now(), before));
         }
         Pass pass = new Pass(ticket, attempt, request, server, loop.now(), loop.now() + timeoutNanos, writtenBy);
         byTicket.put(ticket, pass);
         begin(pass, timeoutNanos);
-        if (!pass.isTold && !pass.isWritten() && pass.writtenBy < pass.endsAt) {
-            pass.unwritten = loop.after(pass.writtenBy - loop.now(), () -> stop(pass, Outcome.TIMEOUT));
+        if (!pass.isReported && !pass.isWritten() && pass.writtenBy < pass.endsAt) {
+            pass.writeDeadline = loop.after(pass.writtenBy - loop.now(), () -> stop(pass, Outcome.TIMEOUT));
         }
     }
 
-    /** Probes a server. */
+    /** Sends a health probe to a server and reports its outcome as a {@link ProbeEnded} event. */
     public void probe(long serverId) {
         ApplicationServer server = server(serverId);
         if (server == null) {
             listener.happened(new ProbeEnded(serverId, Outcome.MOOT, 0));
         } else {
-            begin(new Pass(-1, 0, null, server, loop.now(), loop.now() + PROBE_NANOS, Long.MAX_VALUE), PROBE_NANOS);
+            begin(
+                    new Pass(-1, 0, null, server, loop.now(), loop.now() + PROBE_TIMEOUT_NANOS, Long.MAX_VALUE),
+                    PROBE_TIMEOUT_NANOS);
         }
     }
 
     private void begin(Pass pass, long timeoutNanos) {
         pass.timeout = loop.after(timeoutNanos, () -> stop(pass, Outcome.TIMEOUT));
-        tell(c -> c.ask(loop.now(), pass));
+        report(c -> c.ask(loop.now(), pass));
     }
 
-    /** Stops waiting for an attempt that is out; any other is passed over. */
+    /** Cancels an attempt that is in progress; does nothing if the request has no such attempt in progress. */
     public void cancel(long ticket, int attempt) {
         Pass pass = byTicket.get(ticket);
         if (pass != null && pass.attempt == attempt) {
@@ -99,8 +111,8 @@
     }
 
     /**
-     * The request has its final answer. Guards the rule that nothing is sent on after it: a pass that still waits for its
-     * connection must not be written, though the module may let one that is written go on.
+     * Called when the request has its final answer. Nothing may be sent for a request after that: a pass that still
+     * waits for its connection is given up, whereas the decision module may let a written pass continue.
      */
     public void answered(long ticket) {
         left.remove(ticket);
@@ -114,7 +126,7 @@
     }
 
     private void stop(Pass pass, Outcome outcome) {
-        tell(c -> {
+        report(c -> {
             if (!pass.isProbe() && !pass.isLast) {
                 left.put(pass.ticket, pass);
             }
@@ -128,63 +140,71 @@
     public void closeIdle(long serverId) {
         ApplicationServer server = servers.get(serverId);
         if (server != null) {
-            tell(c -> c.closeIdle(loop.now(), server.pool()));
+            report(c -> c.closeIdle(loop.now(), server.pool()));
         }
     }
 
     /**
-     * The farm has changed: lets go of servers that are no longer in it, and of what waits for one that drains.
+     * Called when the farm has changed. Removes servers that have left the farm, and ends the passes that wait for a
+     * connection to a server that has begun to drain.
      */
     public void farmChanged() {
         for (ApplicationServer server : List.copyOf(servers.values())) {
             Farm.Entry entry = farm.entry(server.id());
             if (entry == null) {
                 servers.remove(server.id());
-                tell(c -> c.remove(loop.now(), server.pool()));
+                report(c -> c.remove(loop.now(), server.pool()));
             } else {
-                tell(c -> c.ready(loop.now(), server.pool(), entry.isReady()));
+                report(c -> c.ready(loop.now(), server.pool(), entry.isReady()));
             }
         }
     }
 
-    /** There may be so many connections from now on. */
-    public void bound(int mostConnections) {
-        tell(c -> c.bound(loop.now(), mostConnections));
+    /** Sets the maximum number of connections to servers. */
+    public void bound(int maxConnections) {
+        report(c -> c.bound(loop.now(), maxConnections));
     }
 
-    /** Whether a server is the origin, as the farm lists it now. */
+    /** Returns whether the farm currently lists a server as the origin. */
     public boolean isOrigin(long serverId) {
         Farm.Entry entry = farm.entry(serverId);
         return entry != null && entry.isOrigin();
     }
 
-    /** What the connections have counted. */
+    /** Returns the counters of all connections to servers. */
     public Figures figures() {
         return connections.figures();
     }
 
-    /** Whether an answer like the one before is to be checked. */
+    /**
+     * Returns whether a reply that equals the previous reply on its connection must be verified with a fence.
+     *
+     * @param sameKey whether both replies answer requests for the same key
+     */
     boolean repeats(Link link, boolean sameKey) {
         return connections.repeats(loop.now(), link, sameKey);
     }
 
-    /** Tells the connections what happened and carries out what they order. */
-    void tell(Consumer<ServerConnections> happening) {
-        happening.accept(connections);
-        if (obeying) {
+    /**
+     * Reports an event to {@link ServerConnections} and carries out the orders that follow from it. A nested call
+     * only reports the event; the outermost call carries out the orders.
+     */
+    void report(Consumer<ServerConnections> event) {
+        event.accept(connections);
+        if (executing) {
             return;
         }
-        obeying = true;
+        executing = true;
         try {
             for (Order order; (order = connections.next()) != null; ) {
-                obey(order);
+                execute(order);
             }
         } finally {
-            obeying = false;
+            executing = false;
         }
     }
 
-    private void obey(Order order) {
+    private void execute(Order order) {
         if (order instanceof Order.Carry carry) {
             if (carry.holds()) {
                 byLink.get(carry.link()).carry((Pass) carry.use());
@@ -199,7 +219,7 @@
         } else if (order instanceof Order.Ended ended) {
             end((Pass) ended.use(), new ServerProtocol.Reply(outcome(ended)));
         } else if (order instanceof Order.Wake wake) {
-            loop.after(wake.at() - loop.now(), () -> tell(c -> c.wake(loop.now(), wake.pool())));
+            loop.after(wake.at() - loop.now(), () -> report(c -> c.wake(loop.now(), wake.pool())));
         }
     }
 
@@ -233,15 +253,15 @@
         connections.failed(loop.now(), link);
     }
 
-    /** All of a pass was handed to the system. */
+    /** Called when all bytes of a pass have been handed to the operating system. */
     void written(Pass pass) {
-        loop.cancel(pass.unwritten);
+        loop.cancel(pass.writeDeadline);
         if (!pass.isProbe()) {
             whenWritten.run();
         }
     }
 
-    /** A connection has ended, not by an order. */
+    /** Called when a connection has ended for another reason than an order. */
     void gone(Link link) {
         byLink.remove(link);
     }
@@ -250,14 +270,17 @@
         end(pass, reply, reply.value() == null ? null : new Answer.Served(reply.value()));
     }
 
-    /** The same with a value that is on its way; what becomes of that is no matter of the pass. */
+    /**
+     * Ends a pass and reports its outcome once. A streamed value may still be arriving; whether the rest of that
+     * value comes no longer affects the pass.
+     */
     void end(Pass pass, ServerProtocol.Reply reply, Answer served) {
-        if (pass.isTold) {
+        if (pass.isReported) {
             return;
         }
-        pass.isTold = true;
+        pass.isReported = true;
         loop.cancel(pass.timeout);
-        loop.cancel(pass.unwritten);
+        loop.cancel(pass.writeDeadline);
         long duration = loop.now() - pass.begunAt;
         if (pass.isProbe()) {
             listener.happened(new ProbeEnded(pass.server.id(), reply.outcome(), duration));
@@ -268,7 +291,10 @@
                 pass.ticket, pass.attempt, pass.server.id(), reply.outcome(), reply.fetching(), served, duration);
     }
 
-    /** The server as the farm lists it now; one that moved to another address begins anew. */
+    /**
+     * Returns the server as the farm currently lists it, or null. A server whose address has changed gets a new
+     * entry with new connections.
+     */
     private ApplicationServer server(long id) {
         Farm.Entry entry = farm.entry(id);
         if (entry == null) {
@@ -278,12 +304,12 @@
         if (server == null || !server.address().equals(entry.address())) {
             ApplicationServer before = server;
             if (before != null) {
-                tell(c -> c.remove(loop.now(), before.pool()));
+                report(c -> c.remove(loop.now(), before.pool()));
             }
             server = ApplicationServer.of(entry, connections);
             servers.put(id, server);
-            ApplicationServer met = server;
-            tell(c -> c.ready(loop.now(), met.pool(), entry.isReady()));
+            ApplicationServer created = server;
+            report(c -> c.ready(loop.now(), created.pool(), entry.isReady()));
         }
         return server;
     }
--- a/src/main/java/slateseam/router/pass/ServerConnection.java
+++ b/src/main/java/slateseam/router/pass/ServerConnection.java
@@ -18,17 +18,27 @@
 import slateseam.router.request.Answer;
 import slateseam.router.request.Incoming;
 
-/** A connection to a server. It carries proxy passes in order and tells the passes' table what happens to it. */
+/**
+ * A connection to a server. Carries proxy passes in order, matches replies to them, and reports to {@link Passes}
+ * what happens to the connection.
+ */
 final class ServerConnection extends Connection {
-    /** For the rest of an answer once a part has come: less than an aim, so that there is time for another pass. */
-    private static final long REST_NANOS = 250 * Clock.MILLI;
+    /**
+     * How long the rest of a reply may take once a part of it has arrived. The limit is shorter than a latency
+     * target, so that there is time for another pass.
+     */
+    private static final long REPLY_REST_TIMEOUT_NANOS = 250 * Clock.MILLI;
 
-    /** Of a long value: it is passed on in pieces, and given up when nothing more comes for so long. */
-    private static final int PIECE = 16 * 1024;
+    /** Maximum size of the pieces in which a long value is passed on. */
+    private static final int MAX_PIECE_BYTES = 16 * 1024;
 
-    private static final long STALLED_NANOS = 4_000 * Clock.MILLI;
-    /** Of an answer, to compare it with the one before; what is the same so far is checked. */
-    private static final int COMPARED = 256;
+    /** How long a long value may make no progress before the connection is closed. */
+    private static final long STALL_TIMEOUT_NANOS = 4_000 * Clock.MILLI;
+    /**
+     * How many leading bytes of a reply are compared with the previous reply. A reply that equals the previous one
+     * in these bytes and in length counts as a possible duplicate.
+     */
+    private static final int COMPARED_BYTES = 256;
 
     private final Passes passes;
     private final ApplicationServer server;
@@ -38,17 +48,17 @@
     private long upAt;
     private boolean used;
     private boolean reading;
-    /** Answers that are held until a fence is answered, in order; null if none is out. */
+    /** Replies that are held back until the fence is answered, in order; null if no fence is outstanding. */
     private List<ServerProtocol.Reply> held;
 
     private long lastBytes;
     private byte[] lastKey;
-    /** Until when it may stay as it is: connecting, or with a part of an answer. */
-    private Deadline limit;
+    /** Deadline of the current phase: of connecting, or of receiving the rest of a reply. */
+    private Deadline deadline;
 
     private boolean partial;
-    /** The long value that comes just now; null where none does. */
-    private LongValue coming;
+    /** The long value being received; null if none is. */
+    private LongValue streaming;
 
     ServerConnection(Loop loop, Passes passes, ApplicationServer server, Link link, long connectNanos)
             throws IOException {
@@ -56,13 +66,13 @@
         this.passes = passes;
         this.server = server;
         this.link = link;
-        limit = loop.after(connectNanos, this::breakOff);
+        deadline = loop.after(connectNanos, this::breakOff);
     }
 
-    /** Writes a pass behind what is out, unless it shows that the connection is of no use any more. */
+    /** Writes a pass behind the outstanding ones, unless a read beforehand shows that the connection is unusable. */
     void carry(Pass pass) {
         if (awaited.isEmpty() && !reading && (used || upAt != loop().now())) {
-            // Guards against bytes behind an answer, which would be read as the answer to this pass.
+            // Reads first, so that surplus bytes behind the last reply are not taken for the reply to this pass.
             poll();
         }
         if (isClosed() || !link.isOpen()) {
@@ -75,12 +85,12 @@
         write(pass.isProbe() ? server.protocol().probe() : server.protocol().command(pass.request, wait));
     }
 
-    /** Ends it, with all that is out on it. */
+    /** Closes the connection, with all passes outstanding on it. */
     void end() {
-        loop().cancel(limit);
+        loop().cancel(deadline);
         close();
-        if (coming != null) {
-            coming.cut();
+        if (streaming != null) {
+            streaming.cut();
         }
     }
 
@@ -88,8 +98,8 @@
     protected void connected() {
         up = true;
         upAt = loop().now();
-        loop().cancel(limit);
-        passes.tell(connections -> connections.up(loop().now(), link));
+        loop().cancel(deadline);
+        passes.report(connections -> connections.up(loop().now(), link));
     }
 
     @Override
@@ -108,9 +118,9 @@
         try {
             while (!isClosed()
                     && link.isOpen()
-                    && (coming == null ? takeOne(in) : coming.take(in))
+                    && (streaming == null ? takeReply(in) : streaming.take(in))
                     && in.hasRemaining()) {
-                // Goes on with the next answer.
+                // Continues with the next reply.
             }
         } finally {
             reading = false;
@@ -118,20 +128,20 @@
     }
 
     @Override
-    protected void ended(ByteBuffer left) throws MalformedException {
+    protected void ended(ByteBuffer remainingBytes) throws MalformedException {
         Pass first = awaited.peek();
-        boolean may = first != null && !first.isProbe() && coming == null && held == null && link.isOpen();
-        ServerProtocol.Reply reply = may ? server.protocol().replyAtEnd(left) : null;
+        boolean expectsReply = first != null && !first.isProbe() && streaming == null && held == null && link.isOpen();
+        ServerProtocol.Reply reply = expectsReply ? server.protocol().replyAtEnd(remainingBytes) : null;
         if (reply != null) {
-            answered(reply, left.hasRemaining());
+            answered(reply, remainingBytes.hasRemaining());
         }
     }
 
-    /** Whether something whole was taken. */
-    private boolean takeOne(ByteBuffer in) throws MalformedException {
+    /** Takes one reply from the buffer, or the head of a long one. Returns false if more bytes are needed first. */
+    private boolean takeReply(ByteBuffer in) throws MalformedException {
         Pass first = awaited.peek();
         if (first == null) {
-            throw new MalformedException("an answer to nothing");
+            throw new MalformedException("reply received while no request is outstanding");
         }
         ServerProtocol protocol = server.protocol();
         if (held != null && held.size() == awaited.size()) {
@@ -139,17 +149,19 @@
         }
         int start = in.position();
         if (held == null && !first.isProbe() && first.request.streams() && first.isWritten() && !first.isGivenUp()) {
-            ServerProtocol.Begun begun = protocol.begun(in);
-            if (begun != null) {
+            ServerProtocol.LongReplyHead head = protocol.readLongReplyHead(in);
+            if (head != null) {
                 awaitRest(false);
-                coming = new LongValue(first, begun);
-                coming.begin();
+                streaming = new LongValue(first, head);
+                streaming.begin();
                 return true;
             }
         }
         ServerProtocol.Reply reply = first.isProbe() ? protocol.probeReply(in) : protocol.reply(in);
         if (reply == null) {
-            // Without a length its end is the connection's: for as long as something comes that may take its time.
+            // A reply without a length ends with the connection: restarts the deadline for the rest whenever bytes
+            // arrive,
+            // so that such a reply may take as long as it makes progress.
             boolean goesOn = in.hasRemaining() && protocol.endsWithConnection(in);
             if (goesOn) {
                 awaitRest(false);
@@ -170,9 +182,13 @@
         return true;
     }
 
-    /** Guards against a second copy of an answer that is taken as the next one: then one answer too many comes. */
+    /**
+     * Takes the reply to the fence and releases the replies held back. Guards against a duplicate of a reply being
+     * taken for the reply to the next request: with a duplicate, one more reply arrives ahead of the reply to the
+     * fence.
+     */
     private boolean takeFence(ByteBuffer in) throws MalformedException {
-        if (!server.protocol().passFence(in)) {
+        if (!server.protocol().skipFenceReply(in)) {
             return false;
         }
         awaitRest(false);
@@ -184,9 +200,9 @@
         return true;
     }
 
-    /** Whether an answer has the same bytes as the one before, and is to be told from a copy of that. */
+    /** Returns whether a reply equals the previous one, so that a fence must show that it is no duplicate of that. */
     private boolean repeats(ByteBuffer answer, Pass pass) {
-        byte[] compared = new byte[Math.min(COMPARED, answer.limit())];
+        byte[] compared = new byte[Math.min(COMPARED_BYTES, answer.limit())];
         answer.get(compared);
         long bytes = Hash.of(compared) * 31 + answer.limit();
         byte[] key = pass.isProbe() ? null : pass.request.key();
@@ -201,8 +217,8 @@
         Pass pass = awaited.remove();
         boolean givenUp = pass.isGivenUp();
         boolean reusable = reply.reusable() && pass.isWritten();
-        // Freed before the outcome is told, so that what the outcome makes the router send can use it at once.
-        passes.tell(connections -> {
+        // Frees the connection before the outcome is reported, so that requests sent as a result can use it at once.
+        passes.report(connections -> {
             connections.answered(loop().now(), link, reusable, more);
             if (!givenUp) {
                 passes.end(pass, reply);
@@ -210,118 +226,126 @@
         });
     }
 
-    /** Guards against answers that never end: the pass has failed long before its own time is up. */
-    private void awaitRest(boolean begun) {
-        if (begun && !partial) {
-            loop().cancel(limit);
-            limit = loop().after(
-                            REST_NANOS, () -> malformed(new MalformedException("the rest of an answer did not come")));
-        } else if (!begun && partial) {
-            loop().cancel(limit);
+    /**
+     * Starts or stops the deadline for the rest of a reply. Guards against replies that never end: the pass fails
+     * well before its own timeout.
+     */
+    private void awaitRest(boolean started) {
+        if (started && !partial) {
+            loop().cancel(deadline);
+            deadline = loop().after(
+                            REPLY_REST_TIMEOUT_NANOS,
+                            () -> malformed(new MalformedException("the rest of an answer did not come")));
+        } else if (!started && partial) {
+            loop().cancel(deadline);
         }
-        partial = begun;
+        partial = started;
     }
 
     /**
-     * A long value on its way to its user agent. What has come is passed on from the connection's one buffer; while it is
-     * not taken, nothing further is read.
+     * A long value that is streamed to a user agent. Received bytes are passed on from the connection's input
+     * buffer; while the user agent takes none, nothing further is read from the server.
      */
     private final class LongValue implements Incoming {
         private final Pass pass;
-        private final ServerProtocol.Begun begun;
-        private int left;
+        private final ServerProtocol.LongReplyHead head;
+        private int remainingBytes;
         private Taker taker;
-        private boolean over;
-        private Deadline stalled;
+        private boolean finished;
+        private Deadline stallDeadline;
 
-        LongValue(Pass pass, ServerProtocol.Begun begun) {
+        LongValue(Pass pass, ServerProtocol.LongReplyHead head) {
             this.pass = pass;
-            this.begun = begun;
-            this.left = begun.length();
+            this.head = head;
+            this.remainingBytes = head.length();
         }
 
         void begin() {
             passes.end(pass, new ServerProtocol.Reply(Outcome.OK), new Answer.Streamed(this));
-            awaitMore();
+            restartStallDeadline();
         }
 
         @Override
         public int length() {
-            return begun.length();
+            return head.length();
         }
 
         @Override
         public void to(Taker by) {
             taker = by;
-            if (over) {
-                by.cut(); // it broke while answers ahead of it were waited for
+            if (finished) {
+                by.cut(); // the value broke off while earlier answers to the user agent were pending
             }
             more();
         }
 
         @Override
         public void more() {
-            if (!over && taker != null && taker.wantsMore()) {
+            if (!finished && taker != null && taker.wantsMore()) {
                 pause(false);
-                awaitMore();
+                restartStallDeadline();
             }
         }
 
         @Override
         public void stop() {
             taker = null;
-            if (!over) {
+            if (!finished) {
                 finish();
-                passes.tell(connections -> connections.giveUp(loop().now(), pass, false));
+                passes.report(connections -> connections.giveUp(loop().now(), pass, false));
             }
         }
 
-        /** Whether there may be more to take. */
+        /** Passes on the bytes received. Returns whether the reply is complete and the next one can be read. */
         boolean take(ByteBuffer in) throws MalformedException {
-            while (left > 0 && in.hasRemaining()) {
+            while (remainingBytes > 0 && in.hasRemaining()) {
                 if (taker == null || !taker.wantsMore()) {
-                    loop().cancel(stalled);
+                    loop().cancel(stallDeadline);
                     pause(true);
                     return false;
                 }
-                ByteBuffer part = in.slice(in.position(), Math.min(Math.min(left, PIECE), in.remaining()));
+                ByteBuffer part =
+                        in.slice(in.position(), Math.min(Math.min(remainingBytes, MAX_PIECE_BYTES), in.remaining()));
                 in.position(in.position() + part.limit());
-                left -= part.limit();
+                remainingBytes -= part.limit();
                 taker.bytes(part);
-                if (over) {
+                if (finished) {
                     return false;
                 }
             }
-            awaitMore();
-            if (left == 0 && taker != null) {
+            restartStallDeadline();
+            if (remainingBytes == 0 && taker != null) {
                 Taker by = taker;
-                taker = null; // whatever lies behind the value is no matter of its taker
+                taker = null; // what follows the value does not concern the taker
                 by.whole();
             }
-            if (left > 0 || isClosed() || !server.protocol().passRest(in, begun)) {
+            if (remainingBytes > 0 || isClosed() || !server.protocol().skipRest(in, head)) {
                 return false;
             }
             finish();
-            coming = null;
+            streaming = null;
             awaited.remove();
-            passes.tell(connections -> connections.answered(loop().now(), link, begun.reusable(), in.hasRemaining()));
+            passes.report(connections -> connections.answered(loop().now(), link, head.reusable(), in.hasRemaining()));
             return true;
         }
 
-        /** Guards against a server that stops within its answer, for as long as it is asked for more. */
-        private void awaitMore() {
-            loop().cancel(stalled);
-            stalled = over ? null : loop().after(STALLED_NANOS, ServerConnection.this::breakOff);
+        /**
+         * Restarts the stall deadline, which runs while more is requested: guards against a server that stops in
+         * mid-reply.
+         */
+        private void restartStallDeadline() {
+            loop().cancel(stallDeadline);
+            stallDeadline = finished ? null : loop().after(STALL_TIMEOUT_NANOS, ServerConnection.this::breakOff);
         }
 
         private void finish() {
-            over = true;
-            loop().cancel(stalled);
+            finished = true;
+            loop().cancel(stallDeadline);
         }
 
-        /** The connection has ended, or what came on it cannot be read. */
+        /** Called when the connection has ended, or when a malformed reply made it unusable. */
         void cut() {
-            if (!over) {
+            if (!finished) {
                 finish();
                 if (taker != null) {
                     taker.cut();
@@ -330,16 +354,18 @@
         }
     }
 
-    /** What cannot be read may have run; the connection is of no more use. */
+    /**
+     * Called on a malformed reply. Its request may have run on the server; the connection is unusable from now on.
+     */
     @Override
     protected void malformed(MalformedException e) {
         loop().log().line("server-malformed", server.address() + ": " + e.getMessage());
         Pass first = awaited.peek();
-        if (coming != null) {
+        if (streaming != null) {
             breakOff();
             return;
         }
-        passes.tell(connections -> {
+        passes.report(connections -> {
             if (first == null) {
                 connections.noise(loop().now(), link);
                 return;
@@ -354,12 +380,12 @@
 
     @Override
     protected void broken() {
-        loop().cancel(limit);
-        if (coming != null) {
-            coming.cut();
+        loop().cancel(deadline);
+        if (streaming != null) {
+            streaming.cut();
         }
         passes.gone(link);
-        passes.tell(connections -> {
+        passes.report(connections -> {
             if (up) {
                 connections.broken(loop().now(), link);
             } else {
--- a/src/main/java/slateseam/router/useragent/Commands.java
+++ b/src/main/java/slateseam/router/useragent/Commands.java
@@ -8,12 +8,12 @@
 import slateseam.router.request.Answer;
 import slateseam.router.request.Ending;
 
-/** The platform's commands, each an exchange of its own. */
+/** The dialect of the platform's commands, in which each command is an exchange of its own. */
 public final class Commands implements Dialect {
     private final Requests requests;
     private final Lifecycle lifecycle;
 
-    /** Creates the dialect. */
+    /** Creates the dialect; the lifecycle tells whether PING is answered with PONG. */
     public Commands(Requests requests, Lifecycle lifecycle) {
         this.requests = requests;
         this.lifecycle = lifecycle;
@@ -21,15 +21,15 @@
 
     @Override
     public Exchange exchange(Runnable ready) {
-        return new Single(ready);
+        return new SingleCommand(ready);
     }
 
-    /** The name of a command. */
+    /** Returns the name of a command in upper case. */
     public static String name(List<ByteBuffer> command) {
         return Bytes.text(command.get(0)).toUpperCase(Locale.ROOT);
     }
 
-    private final class Single extends Exchange {
+    private final class SingleCommand extends Exchange {
         private final Requests.Open asked = new Requests.Open() {
             @Override
             protected void answered(Answer answer) {
@@ -46,7 +46,7 @@
             }
         };
 
-        Single(Runnable ready) {
+        SingleCommand(Runnable ready) {
             super(ready);
         }
 
@@ -54,11 +54,11 @@
         public void take(List<ByteBuffer> command) {
             String name = name(command);
             boolean write = name.equals("CACHE.SET");
-            ByteBuffer[] atOnce = write || name.equals("CACHE.GET")
+            ByteBuffer[] immediateReply = write || name.equals("CACHE.GET")
                     ? requests.take(command, write, asked)
                     : Replies.other(name, lifecycle.answersPing());
-            if (atOnce != null) {
-                finish(atOnce);
+            if (immediateReply != null) {
+                finish(immediateReply);
             }
         }
 
--- a/src/main/java/slateseam/router/useragent/RespFront.java
+++ b/src/main/java/slateseam/router/useragent/RespFront.java
@@ -16,70 +16,78 @@
 import slateseam.router.net.Slots;
 
 /**
- * The connections of user agents, which speak RESP2, on all listeners. Which of them stay is settled by the room; what
- * their commands mean is told by the dialect of the listener that they came to.
+ * The RESP2 connections of user agents on all listeners. A {@link UserAgentRoom} decides which connections are kept;
+ * the {@link Dialect} of the listener at which a connection was accepted interprets its commands.
  */
 public final class RespFront {
-    /** Of the heap, for answers that are not read. */
-    private static final int UNREAD_PART = 8;
-    /** Of connections that are ended at a time for want of room in the table. */
-    private static final int MOST_AT_ONCE = 16;
+    /** Divisor of the heap size that gives the memory limit for answers that user agents do not read: one eighth. */
+    private static final int UNREAD_HEAP_DIVISOR = 8;
+    /** Maximum number of connections that are ended at a time to make room in the table. */
+    private static final int MAX_ENDED_AT_ONCE = 16;
 
     private final Loop loop;
     private final Slots<UserAgent> userAgents;
     private final UserAgentRoom room;
-    /** Connections that there may be now. */
-    private int most;
-    /** Of the longest class: an answer that is not read by then is of no use to anyone. */
+    /** The current maximum number of connections. */
+    private int maxOpen;
+    /** The longest deadline of any class, in nanoseconds: an answer that is not read within it has become useless. */
     private long readNanos;
 
     private final List<Runnable> whenClosed = new ArrayList<>();
     private final Lifecycle lifecycle;
-    private Deadline look;
+    private Deadline surplusCheck;
     private int listeners;
 
     /**
-     * Creates the front for at most so many connections, whatever listener they come to, of which user agents hold so many
-     * for their requests.
+     * Creates the table of connections.
+     *
+     * @param longestAnswerNanos the longest deadline of any class, in nanoseconds
+     * @param maxConnections the maximum number of connections, on all listeners together
+     * @param held the maximum number of connections that user agents hold for their requests
      */
-    public RespFront(Loop loop, Lifecycle lifecycle, long longestAnswerNanos, int mostConnections, int held) {
+    public RespFront(Loop loop, Lifecycle lifecycle, long longestAnswerNanos, int maxConnections, int held) {
         this.loop = loop;
         this.lifecycle = lifecycle;
         this.readNanos = longestAnswerNanos;
-        this.userAgents = new Slots<>(mostConnections);
-        this.most = mostConnections;
-        this.room = new UserAgentRoom(mostConnections, held);
-        lifecycle.whenLeaving(this::leave);
+        this.userAgents = new Slots<>(maxConnections);
+        this.maxOpen = maxConnections;
+        this.room = new UserAgentRoom(maxConnections, held);
+        lifecycle.whenLeaving(this::closeBetweenRequests);
     }
 
-    /** How many connections are open. */
+    /** Returns the number of open connections. */
     public int connections() {
         return userAgents.size();
     }
 
-    /** There may be so many connections from now on, of which user agents hold so many; never more than at the start. */
-    public void bound(int mostConnections, int held) {
-        most = mostConnections;
-        room.bound(mostConnections, held);
-        lookSoon();
+    /**
+     * Sets new limits on the number of connections.
+     *
+     * @param maxConnections the maximum number of connections; never more than the number given to the constructor
+     * @param held the maximum number of connections that user agents hold for their requests
+     */
+    public void bound(int maxConnections, int held) {
+        maxOpen = maxConnections;
+        room.bound(maxConnections, held);
+        scheduleSurplusCheck();
     }
 
-    /** Answers are waited for as long as this from now on; what is out keeps its time. */
+    /** Raises the time that user agents have to read an answer to the given nanoseconds; never lowers it. */
     public void longest(long longestAnswerNanos) {
         readNanos = Math.max(readNanos, longestAnswerNanos);
     }
 
-    /** The room that connections have, for its figures. */
+    /** Returns the policy that decides which connections are kept, for its counters. */
     public UserAgentRoom room() {
         return room;
     }
 
-    /** Calls back after each close of a connection; further ones too. */
+    /** Adds an action that runs after each close of a connection. */
     public void onClose(Runnable action) {
         whenClosed.add(action);
     }
 
-    /** The gate of a listener whose commands are of a dialect. */
+    /** Returns the gate of a new listener whose commands are interpreted by a dialect. */
     public Acceptor.Gate gate(Dialect dialect) {
         int listener = listeners++;
         return new Acceptor.Gate() {
@@ -101,39 +109,40 @@
     }
 
     /**
-     * Whether a connection can be taken into the table. Guards against user agents that hold connections without a
-     * request: those that are being ended are cut short, then what the room can spare is ended, then half commands are.
+     * Returns whether a connection can be taken into the table, ending others if the table is full. Guards against
+     * user agents that hold connections without a request: connections that are already ending are closed first,
+     * then surplus connections, then connections on which only part of a command has arrived.
      */
     private boolean makeRoom() {
-        for (int i = 0; i < MOST_AT_ONCE && isFull(); i++) {
+        for (int i = 0; i < MAX_ENDED_AT_ONCE && isFull(); i++) {
             Kept kept = room.endingForLongest(loop.now());
             if (kept != null) {
-                agent(kept).cutShort();
+                agent(kept).closeNow();
                 continue;
             }
             kept = room.surplus(loop.now());
             if (kept != null) {
-                agent(kept).giveWay();
+                agent(kept).endIfQuiet();
                 continue;
             }
             kept = room.halfForLongest(loop.now());
             if (kept == null) {
                 break;
             }
-            agent(kept).giveUpRest();
+            agent(kept).endPartialCommand();
         }
         return !isFull();
     }
 
     private boolean isFull() {
-        return userAgents.size() >= most;
+        return userAgents.size() >= maxOpen;
     }
 
     private static UserAgent agent(Kept kept) {
         return (UserAgent) kept.owner();
     }
 
-    /** Takes a connection, whose commands are of a dialect. */
+    /** Takes over an accepted connection, or closes it if its address has too many connections. */
     private void accept(SocketChannel channel, Dialect dialect, int listener) throws IOException {
         try {
             SocketAddress from = channel.getRemoteAddress();
@@ -145,35 +154,38 @@
             }
             UserAgent userAgent = new UserAgent(this, loop, channel, dialect);
             userAgent.begin(userAgents.add(userAgent), room.opened(userAgent, address, listener, loop.now()));
-            lookSoon();
+            scheduleSurplusCheck();
         } catch (IOException e) {
             channel.close();
             throw e;
         }
     }
 
-    /** There may be more connections than the room has place for; looked at when the present happening is over. */
-    void lookSoon() {
-        if (!isClosing() && look == null && room.lookAgain(loop.now()) != Long.MAX_VALUE) {
-            look = loop.after(0, this::keepWithinRoom);
+    /** Schedules a check for surplus connections, to run when the current event has been handled. */
+    void scheduleSurplusCheck() {
+        if (!isClosing() && surplusCheck == null && room.lookAgain(loop.now()) != Long.MAX_VALUE) {
+            surplusCheck = loop.after(0, this::endSurplus);
         }
     }
 
-    /** Ends what the room has no place for, and looks again as long as there is too much. */
-    private void keepWithinRoom() {
+    /** Ends surplus connections and schedules the next check if another one is due. */
+    private void endSurplus() {
         for (Kept kept; !isClosing() && (kept = room.surplus(loop.now())) != null; ) {
-            agent(kept).giveWay();
+            agent(kept).endIfQuiet();
         }
         long next = isClosing() ? Long.MAX_VALUE : room.lookAgain(loop.now());
-        look = next == Long.MAX_VALUE ? null : loop.after(next - loop.now(), this::keepWithinRoom);
+        surplusCheck = next == Long.MAX_VALUE ? null : loop.after(next - loop.now(), this::endSurplus);
     }
 
-    /** Closes every connection as soon as it stands between requests. */
-    private void leave() {
+    /** Closes every connection as soon as it is between requests. */
+    private void closeBetweenRequests() {
         userAgents.all().forEach(UserAgent::closeWhenDone);
     }
 
-    /** Takes no further command on any connection; each ends behind what it has begun. */
+    /**
+     * Takes no further command on any connection; each connection ends after the answers to the commands it has
+     * begun.
+     */
     public void finish() {
         userAgents.all().forEach(UserAgent::finish);
     }
@@ -186,23 +198,25 @@
         return readNanos;
     }
 
-    /** Closes those that have not read for longest while there is too much that nobody reads. */
-    void boundUnread() {
+    /**
+     * Closes the connections that have not read for longest, until the unread answers fit their share of the heap.
+     */
+    void limitUnread() {
         List<UserAgent> unread = userAgents.all().stream()
                 .filter(UserAgent::isUnread)
                 .sorted(Comparator.comparingLong(UserAgent::since))
                 .toList();
         long bytes = unread.stream().mapToLong(UserAgent::unwrittenBytes).sum();
         for (UserAgent u : unread) {
-            if (bytes <= loop.heapBytes() / UNREAD_PART) {
+            if (bytes <= loop.heapBytes() / UNREAD_HEAP_DIVISOR) {
                 return;
             }
             bytes -= u.unwrittenBytes();
-            u.overstayed();
+            u.deadlinePassed();
         }
     }
 
-    /** A connection is closed. */
+    /** Called when a connection is closed. */
     void forget(long ticket, Kept kept, Cause cause) {
         userAgents.remove(ticket);
         room.closed(kept, cause, loop.now());
--- a/src/test/java/slateseam/simulate/PlantedBug.java
+++ b/src/test/java/slateseam/simulate/PlantedBug.java
@@ -50,7 +50,10 @@
                         List.of(
                                 change(ROUTER + "pass/Passes", "|| !farm.entry(serverId).isReady()", ""),
                                 change(ROUTER + "pass/Passes", "server.pool(), entry.isReady()", "server.pool(), true"),
-                                change(ROUTER + "pass/Passes", "met.pool(), entry.isReady()", "met.pool(), true"),
+                                change(
+                                        ROUTER + "pass/Passes",
+                                        "created.pool(), entry.isReady()",
+                                        "created.pool(), true"),
                                 change(
                                         UPSTREAM_SERVER,
                                         "boolean isReady() { return member.isReady(); }",
@@ -204,7 +207,10 @@
                         "does not see an end behind commands that wait",
                         null,
                         null,
-                        List.of(change(ROUTER + "useragent/UserAgent", "AHEAD = 256 * 1024", "AHEAD = 0"))),
+                        List.of(change(
+                                ROUTER + "useragent/UserAgent",
+                                "MAX_READ_AHEAD_BYTES = 256 * 1024",
+                                "MAX_READ_AHEAD_BYTES = 0"))),
                 new PlantedBug(
                         "tells the origin the user agent's whole wait",
                         null,
