--- a/src/main/java/slateseam/router/connections/servers/Bounds.java
+++ b/src/main/java/slateseam/router/connections/servers/Bounds.java
@@ -1,11 +1,12 @@
 package slateseam.router.connections.servers;
 
 /**
- * What may be had.
+ * Limits on the connections from this router to application servers.
  *
- * @param mostConnections to all servers together; at it an idle connection gives way, else uses wait or end
- * @param idleNanos for which a server keeps an idle connection at least
- * @param streams uses that may be out on one connection at once; with 1 each has one of its own, and a further connection
- *     is opened for each that waits
+ * @param mostConnections the maximum number of connections to all servers together; when it is reached, an idle
+ *     connection is closed to make room, otherwise uses wait or end
+ * @param idleNanos the minimum time in nanoseconds for which a server keeps an idle connection open
+ * @param streams the maximum number of outstanding uses on one connection; with 1, each use has a connection of its
+ *     own, and a further connection is opened for each waiting use
  */
 public record Bounds(int mostConnections, long idleNanos, int streams) {}
--- a/src/main/java/slateseam/router/connections/servers/Closing.java
+++ b/src/main/java/slateseam/router/connections/servers/Closing.java
@@ -1,21 +1,21 @@
 package slateseam.router.connections.servers;
 
-/** Why a connection ended. */
+/** Why a connection to a server was closed. */
 public enum Closing {
-    /** It never came up: it was refused, or took too long. */
+    /** The connection was refused or was not established in time. */
     NOT_UP,
-    /** It was not used for long enough. */
+    /** The connection reached the idle time-out. */
     IDLE,
-    /** It gave way to another server's. */
+    /** An idle connection was closed to make room for a connection to another server. */
     ROOM,
-    /** Bytes came that belong to no answer, or an answer could not be read. */
+    /** Bytes arrived that belong to no answer, or an answer could not be parsed. */
     NOISE,
-    /** What was out on it was given up. */
+    /** The uses that were outstanding on the connection were abandoned. */
     GIVEN_UP,
-    /** The server ended it, with or behind an answer or between two. */
+    /** The server closed the connection, with or after an answer or between two answers. */
     ENDED,
-    /** It broke while something was out on it. */
+    /** The connection broke while a use was outstanding on it. */
     BROKEN,
-    /** The server left, drains, or is to be spared. */
+    /** The server left the farm, is draining, or asked for fewer connections. */
     SERVER_GONE
 }
--- a/src/main/java/slateseam/router/connections/servers/Figures.java
+++ b/src/main/java/slateseam/router/connections/servers/Figures.java
@@ -3,16 +3,16 @@
 import java.util.Map;
 
 /**
- * Figures of all connections to servers. Totals count from the start.
+ * Statistics of all connections to servers. Totals count from the start of the process.
  *
- * @param opened connections that were begun
- * @param cameUp of these, those that came up
- * @param reused uses that were given a connection which had brought an answer before
- * @param shared of all uses, those that were written behind another
- * @param checked answers like the one before on their connection, for which a fence told whether they were their own
- * @param closed connections that ended, by cause; a cause that never was is missing
- * @param open connections there are now, coming up or up
- * @param comingUp of these, those that have not brought an answer yet
+ * @param opened connections that the router began to open
+ * @param cameUp opened connections that were established
+ * @param reused uses that were assigned to a connection that had already delivered an answer
+ * @param shared uses that were written to a connection behind another outstanding use
+ * @param checked answers identical to the preceding answer on their connection that a fence command had to verify
+ * @param closed closed connections by cause; causes that never occurred are absent
+ * @param open connections that exist now, established or not
+ * @param comingUp existing connections that have not delivered an answer yet
  * @param waiting uses that wait for a connection now
  */
 public record Figures(
--- a/src/main/java/slateseam/router/connections/servers/Learned.java
+++ b/src/main/java/slateseam/router/connections/servers/Learned.java
@@ -1,20 +1,29 @@
 package slateseam.router.connections.servers;
 
-/** How long a server takes for an answer on a used connection, and what a new connection costs beyond that. */
+/**
+ * Moving averages of the time that a server needs to answer on a used connection, and of the additional cost of a
+ * new connection, in nanoseconds.
+ */
 final class Learned {
     private static final double WEIGHT = 0.1;
-    /** Taken before anything is known. */
+    /** The answer time in nanoseconds that is assumed before the first measurement. */
     private static final double FIRST_ANSWER = 10e6;
 
     private static final double FIRST_PRICE = 20e6;
-    /** A connection costs descriptors and work even where the handshake takes no time. */
+    /**
+     * The minimum cost in nanoseconds: a connection costs descriptors and work even where the handshake takes no
+     * time.
+     */
     private static final double LEAST_PRICE = 100e3;
 
     private final Learned others;
     private double answer;
     private double price;
 
-    /** Creates an empty one; what it lacks is taken from that of the whole farm, or null. */
+    /**
+     * Creates empty averages. Values not measured yet are taken from {@code others}, the averages of the whole farm;
+     * null if there are none.
+     */
     Learned(Learned others) {
         this.others = others;
     }
@@ -26,7 +35,7 @@
         }
     }
 
-    /** The first answer on a new connection came so long after the connection was begun. */
+    /** Records the time in nanoseconds from the start of connecting to the first answer. */
     void firstAnswered(long nanos) {
         double sample = Math.max(LEAST_PRICE, nanos - answer());
         price += (price == 0 ? 1 : WEIGHT) * (sample - price);
--- a/src/main/java/slateseam/router/connections/servers/Link.java
+++ b/src/main/java/slateseam/router/connections/servers/Link.java
@@ -3,9 +3,9 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** A connection to a server, as the module sees it. */
+/** The state of one connection to a server, without its socket. */
 public final class Link {
-    /** How far it has come. */
+    /** The connection state. */
     enum State {
         COMING_UP,
         OPEN,
@@ -14,22 +14,24 @@
 
     final Pool pool;
     final long openedAt;
-    /** The uses that are out on it, in the order in which they are to be answered. */
+    /** The outstanding uses, in the order in which the server is to answer them. */
     final Deque<Use> uses = new ArrayDeque<>();
 
     State state = State.COMING_UP;
     long upAt;
     long answers;
-    /** Since when nothing has been out on it. */
+    /** The time since which no use has been outstanding. */
     long freeSince;
-    /** When its last answer came; 0 before the first. */
+    /** The time of the last answer; 0 before the first. */
     long answeredAt;
-    /** When what is first on it was written, or the answer before it came: whichever is later. */
+    /**
+     * The time at which the first outstanding use was written or the preceding answer arrived, whichever is later.
+     */
     long firstSince;
 
-    /** Whether it is being found out whose answer came last. */
+    /** Whether a fence command is outstanding that verifies to which request the last answer belongs. */
     boolean checking;
-    /** Whether that answer and the one before it are for one key. */
+    /** Whether the answer being verified and the preceding answer are for the same key. */
     boolean checkingSame;
 
     Link(Pool pool, long now) {
@@ -37,17 +39,20 @@
         openedAt = now;
     }
 
-    /** The connections that it is one of. */
+    /** Returns the pool that this connection belongs to. */
     public Pool pool() {
         return pool;
     }
 
-    /** Whether it is up and not closed. */
+    /** Returns whether the connection is established and not closed. */
     public boolean isOpen() {
         return state == State.OPEN;
     }
 
-    /** Whether its handshake may still be going on: servers do its work with the first request. */
+    /**
+     * Returns whether no answer has arrived yet, so that the handshake may be unfinished: servers do the work of the
+     * handshake with the first request.
+     */
     boolean isYoung() {
         return answers == 0;
     }
@@ -56,11 +61,11 @@
         return state == State.OPEN && uses.isEmpty();
     }
 
-    /** Whether nobody waits for anything that is out on it. */
+    /** Returns whether every outstanding use is abandoned. */
     boolean isForsaken() {
         Use first = uses.peek();
         if (first == null || !first.isGivenUp()) {
-            return false; // as nearly always: this is asked for every request
+            return false; // the common case; this method runs for every request
         }
         for (Use use : uses) {
             if (!use.isGivenUp()) {
@@ -70,7 +75,7 @@
         return true;
     }
 
-    /** Whether all that is out on it is of requests that have their answer. */
+    /** Returns whether every outstanding use is the last one of its request, so that nothing is sent in its place. */
     boolean isLast() {
         for (Use use : uses) {
             if (!use.last) {
@@ -80,7 +85,7 @@
         return true;
     }
 
-    /** Whether others may be written behind what is out on it. */
+    /** Returns whether another use may be written behind the outstanding uses. */
     boolean isShareable(int most) {
         return state == State.OPEN
                 && !checking
--- a/src/main/java/slateseam/router/connections/servers/Noise.java
+++ b/src/main/java/slateseam/router/connections/servers/Noise.java
@@ -1,15 +1,24 @@
 package slateseam.router.connections.servers;
 
 /**
- * What is remembered of bytes that came behind a server's answers, or in place of one; of connections that broke likewise.
- * Each time doubles how long that is remembered, from 30 s to 16 minutes.
+ * Remembers stray bytes that arrived after a server's answers or in place of an answer; a second instance remembers
+ * broken connections. Each occurrence doubles the time for which this is remembered, from 30 s to 16 minutes.
  */
 final class Noise {
-    /** Of a rest after an answer: long against the machine's own delays, short against an answer's time. */
+    /**
+     * The minimum pause in nanoseconds after an answer: long compared with the scheduling delays of the machine,
+     * short compared with the time of an answer.
+     */
     static final long LEAST_REST = 4_000_000L;
-    /** Of a rest: beyond that a further connection is cheaper, and a server that is so late is a sick one. */
+    /**
+     * The maximum pause in nanoseconds after an answer: beyond it a further connection is cheaper, and a server that
+     * sends stray bytes so late is faulty.
+     */
     static final long MOST_REST = 50_000_000L;
-    /** What a connection carries so soon after an answer may meet bytes that belong to that answer. */
+    /**
+     * The time in nanoseconds after an answer within which a new use of the connection may still receive stray bytes
+     * of that answer.
+     */
     static final long SOON = 10_000_000L;
 
     private static final long FIRST_MEMORY = 30_000_000_000L;
@@ -19,7 +28,12 @@
     private long until;
     private long lateness;
 
-    /** Bytes came so long after the answer that they do not belong to; 0 if with it, or in place of one. */
+    /**
+     * Records that stray bytes arrived.
+     *
+     * @param late the nanoseconds between the preceding answer and the bytes; 0 if they came with an answer or in
+     *     place of one
+     */
     void heard(long now, long late) {
         if (!isSuspect(now)) {
             lateness = 0;
@@ -27,7 +41,7 @@
         }
         doublings = Math.min(MOST_DOUBLINGS, doublings + 1);
         until = now + (FIRST_MEMORY << doublings);
-        // What comes very late may as well be of another cause; no rest is as long.
+        // Very late bytes may have another cause, so a longer pause would not help.
         lateness = Math.max(lateness, Math.min(late, MOST_REST));
     }
 
@@ -35,7 +49,9 @@
         return doublings >= 0 && now < until;
     }
 
-    /** How long a connection is to rest after an answer; 0 where nothing is remembered. */
+    /**
+     * Returns for how many nanoseconds a connection must pause after an answer; 0 if no stray bytes are remembered.
+     */
     long rest(long now) {
         return isSuspect(now) ? Math.min(MOST_REST, Math.max(LEAST_REST, 2 * lateness)) : 0;
     }
--- a/src/main/java/slateseam/router/connections/servers/Order.java
+++ b/src/main/java/slateseam/router/connections/servers/Order.java
@@ -1,40 +1,49 @@
 package slateseam.router.connections.servers;
 
-/** What the network code is to do. Orders are carried out one by one, in the order in which they were given. */
+/** A command for the network code. Commands must be executed one by one, in the order in which they were issued. */
 public sealed interface Order {
-    /** Begin to connect; {@link ServerConnections#up} or {@link ServerConnections#failed} is to follow. */
+    /** Start connecting; {@link ServerConnections#up} or {@link ServerConnections#failed} must follow. */
     record Open(Link link) implements Order {}
 
-    /** Write a use to a connection, behind whatever is out on it. */
+    /** Write a use to a connection, behind the uses outstanding there. */
     record Carry(Link link, Use use) implements Order {
-        /** Whether it still holds; another order, or the connection's end, may have come between. */
+        /**
+         * Returns whether the command is still valid; another command or the end of the connection may have
+         * overtaken it.
+         */
         public boolean holds() {
             return use.link == link && use.state == Use.State.CARRIED && link.isOpen();
         }
     }
 
-    /** Close a connection from this side, with all that is out on it. */
+    /** Close a connection from this side, together with all uses outstanding on it. */
     record Close(Link link) implements Order {}
 
-    /** A use is over without an answer. */
+    /** Report that a use ended without an answer. */
     record Ended(Use use, Why why) implements Order {}
 
-    /** Call {@link ServerConnections#wake} at that time; an earlier call does no harm. */
+    /** Call {@link ServerConnections#wake} at the given time in nanoseconds; an earlier call does no harm. */
     record Wake(Pool pool, long at) implements Order {}
 
-    /** Why a use is over without an answer. */
+    /** Why a use ended without an answer. */
     enum Why {
-        /** There is no room for a connection; this tells nothing of the server. */
+        /** The connection limit is reached; this says nothing about the server. */
         NO_ROOM,
-        /** No connection came up. */
+        /** No connection could be established. */
         NOT_UP,
-        /** Too little of its time is left to write it. */
+        /** Too little time is left before the deadline of the use to write it. */
         LATE,
-        /** The server wants nothing new any more. */
+        /** The server takes no new uses. */
         SERVER_GONE,
-        /** Its connection broke: if it was written whole it may have run, else it never did. */
+        /**
+         * The connection broke. The server may have executed the use if it was written completely, and has not
+         * otherwise.
+         */
         CUT,
-        /** Its connection was closed from here, for another use's sake: likewise, but that tells nothing of the server. */
+        /**
+         * The router closed the connection because of another use. As with {@link #CUT} the use may have been
+         * executed, but this says nothing about the server.
+         */
         DROPPED
     }
 }
--- a/src/main/java/slateseam/router/connections/servers/Pool.java
+++ b/src/main/java/slateseam/router/connections/servers/Pool.java
@@ -9,29 +9,47 @@
 
 /** The connections to one server, and the uses that wait for one. */
 public final class Pool {
-    /** Of a use's time: with less left its bytes could only cross the request's final answer. */
+    /**
+     * The minimum time in nanoseconds that must be left before the deadline of a use: with less, its bytes would
+     * only cross the final answer of the request.
+     */
     public static final long LEAST_NANOS = 5_000_000L;
-    /** Uses on one connection: what a connection that breaks, or is given up, may cost. */
+    /** The maximum number of uses on one connection, which limits how many are lost when it breaks or is closed. */
     static final int MOST_SHARED = 4;
-    /** A connection that is not the last is kept idle for so long: by then it has cost about a handshake. */
+    /**
+     * The idle time-out in nanoseconds of a connection that is not the last one: by then it has cost about as much
+     * as a handshake.
+     */
     static final long SPARE_NANOS = 10_000_000_000L;
-    /** Nothing is put behind a use that has been out for that long, or for so many usual times. */
+    /**
+     * The minimum time in nanoseconds after which an outstanding use counts as stuck, so that no use is written
+     * behind it; it is stuck after 4 usual answer times if that is longer.
+     */
     private static final long LEAST_STUCK = 50_000_000L;
 
     private static final int STUCK = 4;
-    /** A use that was carried so soon after its connection came up has paid for the handshake. */
+    /**
+     * A use that was assigned within this many nanoseconds after its connection was established has borne the cost
+     * of the handshake.
+     */
     private static final long AT_ONCE = 1_000_000L;
-    /** A connection is used some tens of times: a use's waiting is weighed against that part of its price. */
+    /**
+     * The fraction of the cost of a connection that the waiting time of a use is compared with: a connection serves
+     * some tens of uses.
+     */
     private static final double PART = 0.25;
-    /** After so many own repeats of one key's answer they are what the server does, and a copy would do no harm. */
+    /**
+     * After this many verified repetitions of the answer for one key, repetition is normal for the server and a
+     * mistaken copy would do no harm.
+     */
     private static final int ENOUGH = 16;
-    /** Of an answer's time: what standing behind another is held to cost. */
+    /** The fraction of the answer time that a use is assumed to lose when it is written behind another. */
     private static final double HELD_UP = 0.25;
 
     final ServerConnections all;
     final Learned learned;
     final Noise noise = new Noise();
-    /** Connections that broke with something out on them. */
+    /** Connections that broke while uses were outstanding. */
     final Noise breaks = new Noise();
 
     final Opening opening;
@@ -40,9 +58,9 @@
     private final boolean fences;
     private final Deque<Use> waiting = new ArrayDeque<>();
     private boolean ready = true;
-    /** Answers for one key twice in a row that were the same and their own, since noise was heard last. */
+    /** The number of verified consecutive identical answers for the same key since stray bytes last arrived. */
     private int ownRepeats;
-    /** When a call of {@link #wake} was ordered for; 0 if for never. */
+    /** The time for which a call of {@link #wake} is scheduled; 0 if there is none. */
     private long wakeAt;
 
     Pool(ServerConnections all, boolean shares, boolean fences) {
@@ -64,7 +82,7 @@
         serve(now);
     }
 
-    /** Gives connections to those who wait, and opens more where that is worth it. */
+    /** Assigns connections to waiting uses, and opens more connections where they are worth their cost. */
     void serve(long now) {
         for (Iterator<Use> i = waiting.iterator(); i.hasNext(); ) {
             Use use = i.next();
@@ -77,7 +95,7 @@
                 i.remove();
                 give(now, link, use);
             } else if (use.shares) {
-                break; // what it cannot have, none behind it can
+                break; // a use that can share accepts any connection, so the later uses cannot get one either
             }
         }
         openMore(now);
@@ -85,8 +103,9 @@
     }
 
     /**
-     * The connection for a use: the last used of those that have rested, so that others grow idle; else the one that has
-     * rested longest; else one that is shared; else one whose handshake may still be going on.
+     * Returns the connection for a use: the most recently used one whose pause is over, so that the others become
+     * idle; otherwise the one that has paused longest; otherwise one to share; otherwise one whose handshake may be
+     * unfinished. Returns null if there is none.
      */
     private Link choose(long now, Use use) {
         long rest = rest(now);
@@ -118,7 +137,7 @@
         return link.isShareable(mostShared(now)) && !isStuck(now, link);
     }
 
-    /** Whether uses can stand behind others, so that a further connection may wait until it is worth its price. */
+    /** Returns whether uses can share a connection, so that opening another can wait until it is worth its cost. */
     private boolean isPatient() {
         return all.bounds.streams() > 1;
     }
@@ -167,7 +186,7 @@
     }
 
     private void openMore(long now) {
-        int coming = 0; // loops and no streams here: this runs several times for each request
+        int coming = 0; // loops instead of streams, as this runs several times for each request
         for (Link link : links) {
             coming += link.state == Link.State.COMING_UP ? 1 : 0;
         }
@@ -196,7 +215,10 @@
         return ready && links.size() < opening.most(now) && young < opening.young() && all.mayOpen(this);
     }
 
-    /** How long the use of that place in the queue waits for one of the connections that are busy or rest. */
+    /**
+     * Returns for how many nanoseconds the use at the given place in the queue has to wait for a connection that is
+     * busy or pauses.
+     */
     private double expectedWait(long now, int place) {
         double next = Double.MAX_VALUE;
         int busy = 0;
@@ -223,7 +245,7 @@
         return true;
     }
 
-    /** Orders a call for when something changes by time alone. */
+    /** Schedules a call of {@link #wake} for the next change that depends on time alone. */
     private void wakeLater(long now) {
         long next = Long.MAX_VALUE;
         for (Link link : links) {
@@ -262,7 +284,7 @@
         serve(now);
     }
 
-    /** A connection never came up. Only if none is left do those who wait learn of it. */
+    /** Handles a connection that was not established. The waiting uses fail only if no connection is left. */
     void failed(long now, Link link) {
         lose(now, link, Closing.NOT_UP, false);
         opening.refused(now, (int) links.stream().filter(Link::isOpen).count());
@@ -272,7 +294,7 @@
         serve(now);
     }
 
-    /** The first use on a connection has its whole answer. */
+    /** Handles the complete answer to the first outstanding use on a connection. */
     void answered(long now, Link link, boolean reusable, boolean more) {
         Use use = link.uses.remove();
         learn(now, link, use);
@@ -296,13 +318,16 @@
         serve(now);
     }
 
-    /** Whether the answer that came, the same as the one before on that connection, is to be told from a copy of that. */
+    /**
+     * Returns whether the answer that arrived, identical to the preceding one on the connection, must be verified
+     * because it may be a copy of that one.
+     */
     boolean repeats(long now, Link link, boolean sameKey) {
         if (sameKey && ownRepeats >= ENOUGH) {
             return false;
         }
         Use use = link.uses.peek();
-        // Where noise was heard before, the connection has rested.
+        // After earlier stray bytes the connection has paused before this use.
         boolean soon = use.since - link.answeredAt < Noise.SOON && !isSuspect(now);
         link.checking = fences && (use.behind || soon);
         link.checkingSame = link.checking && sameKey;
@@ -323,14 +348,14 @@
         }
     }
 
-    /** Bytes came that belong to nothing that is out. */
+    /** Handles bytes that belong to no outstanding use. */
     void noise(long now, Link link) {
         heard(now, link.isYoung() ? 0 : now - link.freeSince);
         lose(now, link, Closing.NOISE, true);
         serve(now);
     }
 
-    /** The answer of the first use on a connection cannot be read; that use is over. */
+    /** Handles an answer to the first outstanding use that cannot be parsed; that use ends. */
     void spoilt(long now, Link link) {
         Use use = link.uses.remove();
         use.state = Use.State.OVER;
@@ -348,7 +373,7 @@
 
     void broken(long now, Link link) {
         if (!link.uses.isEmpty()) {
-            // Guards against many uses lost at once where connections break.
+            // Limits how many uses are lost at once where connections break.
             breaks.heard(now, 0);
             all.heardBreak(now, this);
         }
@@ -377,8 +402,8 @@
     }
 
     /**
-     * Closes a connection on which nobody waits for anything, unless an answer is still due that only its request's end made
-     * useless: letting that come costs the server less than another handshake.
+     * Closes a connection if all uses outstanding on it are abandoned, unless an answer is still due that became
+     * useless only because its request ended: receiving it costs the server less than another handshake.
      */
     private void closeForsaken(long now, Link link) {
         if (link.isOpen() && link.isForsaken() && !(link.isLast() && !isStuck(now, link))) {
@@ -409,7 +434,10 @@
         }
     }
 
-    /** The server is crowded. One connection is kept, as a new one would cost it more than that. */
+    /**
+     * Closes the idle connections of an overloaded server. One connection is kept, as a new one would cost the
+     * server more.
+     */
     void spare(long now) {
         List<Link> free = links.stream()
                 .filter(Link::isFree)
--- a/src/main/java/slateseam/router/connections/servers/ServerConnections.java
+++ b/src/main/java/slateseam/router/connections/servers/ServerConnections.java
@@ -11,36 +11,42 @@
 import java.util.Set;
 
 /**
- * All connections to servers: it is told what happens, each time with the time in nanoseconds, and gives orders. Whoever
- * tells it something carries out what {@link #next} gives until that is null. Not thread-safe.
+ * Manages all connections to servers. Callers report each event with its time in nanoseconds and then execute the
+ * commands that {@link #next} returns until it returns null. Not thread-safe.
  *
- * <p>Bounds: {@link Bounds#mostConnections} in all. Where connections are shared a quarter of them (4 at least) may be
- * without a first answer, and of one server 2 to 16, with {@link Pool#MOST_SHARED} uses on one; else all, and of one server
- * 2 to 32. Uses that wait are as many as the caller asks for, each until
- * shortly before its end.
+ * <p>Limits: {@link Bounds#mostConnections} connections in all. Where connections are shared, a quarter of them (at
+ * least 4) may be without a first answer, and 2 to 16 for one server, with {@link Pool#MOST_SHARED} uses on one
+ * connection; otherwise all may, and 2 to 32 for one server. The number of waiting uses is not limited; each waits
+ * until shortly before its deadline.
  */
 public final class ServerConnections {
-    /** Of the time for which servers keep an idle connection: closed before that, lest a use meets the close. */
+    /**
+     * The fraction of the time for which servers keep an idle connection after which the router closes it, so that
+     * no use meets the close by the server.
+     */
     private static final double IDLE_PART = 0.8;
 
     private static final int LEAST_COMING = 4;
-    /** Of all connections, those that may be without a first answer where uses can stand behind others meanwhile. */
+    /**
+     * The divisor that gives the share of all connections that may be without a first answer where uses can share
+     * connections meanwhile.
+     */
     private static final int YOUNG_PART = 4;
 
     final Bounds bounds;
-    /** Connections that there may be now. */
+    /** The current limit on the number of connections. */
     private int most;
 
     final long keepNanos;
     final Learned learned = new Learned(null);
-    /** Heard of more than one server: then the others are like them. */
+    /** Stray bytes that came from more than one server; all servers are then assumed to send them. */
     final Noise noise = new Noise();
 
     final Noise breaks = new Noise();
     private final int mostYoung;
     private final List<Pool> pools = new ArrayList<>();
     private final Queue<Order> orders = new ArrayDeque<>();
-    /** Pools to be served again, once fewer connections come up elsewhere. */
+    /** Pools to serve again once fewer connections are opening elsewhere. */
     private final Set<Pool> held = new LinkedHashSet<>();
 
     private final Map<Closing, Long> closed = new EnumMap<>(Closing.class);
@@ -54,7 +60,7 @@
     private long shared;
     private long checked;
 
-    /** Creates it without servers. */
+    /** Creates the connections without any server. */
     public ServerConnections(Bounds bounds) {
         this.bounds = bounds;
         this.most = bounds.mostConnections();
@@ -63,10 +69,11 @@
     }
 
     /**
-     * Begins with a server.
+     * Adds a server.
      *
-     * @param shares whether it takes requests behind one that is out, and answers in order
-     * @param fences whether it answers, in order, a command that tells nothing; else each connection rests after an answer
+     * @param shares whether the server accepts requests behind an outstanding one and answers in order
+     * @param fences whether the server answers, in order, a command without effect that serves as a fence; otherwise
+     *     each connection pauses after an answer
      */
     public Pool add(boolean shares, boolean fences) {
         Pool pool = new Pool(this, shares, fences);
@@ -74,51 +81,57 @@
         return pool;
     }
 
-    /** A server has left: as one that is not ready, for good. What is out there goes on. */
+    /** Removes a server. It is treated as not ready for good; outstanding uses continue. */
     public void remove(long now, Pool pool) {
         ready(now, pool, false);
         held.remove(pool);
         pools.remove(pool);
     }
 
-    /** A server wants new uses, or wants none any more: then those that wait end, and what carries nothing is closed. */
+    /**
+     * Sets whether a server accepts new uses. When it does not, waiting uses end and connections without outstanding
+     * uses are closed.
+     */
     public void ready(long now, Pool pool, boolean ready) {
         pool.setReady(now, ready);
         serveHeld(now);
     }
 
-    /** A server is crowded: closes its connections that carry nothing, but for the last of all. */
+    /** Closes the idle connections of an overloaded server, except for its last connection. */
     public void closeIdle(long now, Pool pool) {
         pool.spare(now);
         pool.serve(now);
         serveHeld(now);
     }
 
-    /** A use asks for a connection. An order to carry it follows, or one that ends it. */
+    /** Requests a connection for a use. A command follows that either writes the use or ends it. */
     public void ask(long now, Use use) {
         use.pool.ask(now, use);
         serveHeld(now);
     }
 
     /**
-     * Nobody waits for a use any more; no order about it follows. One that is alone on its connection ends it, but for one
-     * whose answer is due and that is the last of its request. One that others share it with stays there. What stays is
-     * answered as before, for nobody, unless it is {@link #cut}.
+     * Abandons a use; no command about it follows. A use that is alone on its connection closes it, unless its
+     * answer is due and it is the last use of its request. A use that shares its connection stays there. An answer
+     * to a use that stays is still consumed and reported, but has no recipient, unless the use is {@link #cut}.
      *
-     * @param last whether nothing will be sent in its place
+     * @param last whether nothing will be sent in place of the use
      */
     public void giveUp(long now, Use use, boolean last) {
         use.pool.giveUp(now, use, last);
         serveHeld(now);
     }
 
-    /** Guards against a second copy: what a use stands for is to be sent again, so whatever still carries it is closed. */
+    /**
+     * Closes the connection that still carries an abandoned use, because its content is to be sent again and must
+     * not be executed twice.
+     */
     public void cut(long now, Use use) {
         use.pool.cut(now, use);
         serveHeld(now);
     }
 
-    /** A connection is up. */
+    /** Reports that a connection is established. */
     public void up(long now, Link link) {
         if (link.state == Link.State.COMING_UP) {
             cameUp++;
@@ -127,7 +140,7 @@
         }
     }
 
-    /** A connection was refused, or did not come up in time; it is closed. */
+    /** Reports that a connection was refused or not established in time; it is closed. */
     public void failed(long now, Link link) {
         if (link.state == Link.State.COMING_UP) {
             link.pool.failed(now, link);
@@ -136,10 +149,10 @@
     }
 
     /**
-     * The use that is first on a connection has its whole answer.
+     * Reports the complete answer to the first outstanding use on a connection.
      *
-     * @param reusable whether the connection can carry more
-     * @param more whether bytes lie behind the answer
+     * @param reusable whether the connection can carry further uses
+     * @param more whether bytes follow the answer
      */
     public void answered(long now, Link link, boolean reusable, boolean more) {
         if (link.isOpen()) {
@@ -149,9 +162,9 @@
     }
 
     /**
-     * The answer to what is first on a connection has the same bytes as the one before, for the same key or another. Whether
-     * it is to be held until a fence, written now, tells if it is its own: {@link #answered} follows for it and what is out
-     * behind it, or {@link #spoilt}.
+     * Reports that the answer to the first outstanding use has the same bytes as the preceding one, for the same key
+     * or another. Returns whether the caller must hold the answer until a fence command, written now, shows that it
+     * belongs to that use; {@link #answered} follows for it and the uses behind it, or {@link #spoilt}.
      */
     public boolean repeats(long now, Link link, boolean sameKey) {
         boolean check = link.isOpen() && link.pool.repeats(now, link, sameKey);
@@ -159,7 +172,7 @@
         return check;
     }
 
-    /** Bytes came that belong to nothing that is out, or not to what is first there. */
+    /** Reports bytes that belong to no outstanding use, or not to the first one. */
     public void noise(long now, Link link) {
         if (link.isOpen()) {
             link.pool.noise(now, link);
@@ -167,7 +180,7 @@
         }
     }
 
-    /** The answer of what is first on a connection cannot be read, or did not come whole; that use is over. */
+    /** Reports that the answer to the first outstanding use cannot be parsed or is incomplete; that use ends. */
     public void spoilt(long now, Link link) {
         if (link.isOpen()) {
             link.pool.spoilt(now, link);
@@ -175,7 +188,7 @@
         }
     }
 
-    /** A connection that was up is closed, not by an order. */
+    /** Reports that an established connection was closed other than by a command. */
     public void broken(long now, Link link) {
         if (link.isOpen()) {
             link.pool.broken(now, link);
@@ -183,13 +196,13 @@
         }
     }
 
-    /** The time of a {@link Order.Wake} has come. */
+    /** Reports that the time of a {@link Order.Wake} has come. */
     public void wake(long now, Pool pool) {
         pool.wake(now);
         serveHeld(now);
     }
 
-    /** There may be so many connections from now on; those beyond that go as they are idle. */
+    /** Sets the limit on the number of connections; connections beyond the limit are closed when they are idle. */
     public void bound(long now, int mostConnections) {
         most = mostConnections;
         for (int before = open + 1; open > most && open < before; ) {
@@ -198,12 +211,12 @@
         }
     }
 
-    /** The next order; null if there is none. */
+    /** Returns the next command, or null if there is none. */
     public Order next() {
         return orders.poll();
     }
 
-    /** What it has counted. */
+    /** Returns the current statistics. */
     public Figures figures() {
         return new Figures(
                 opened,
@@ -227,7 +240,7 @@
         order(new Order.Carry(link, use));
     }
 
-    /** Whether one more may come up now; if not, the pool is served again when that has changed. */
+    /** Returns whether one more connection may be opened now; if not, the pool is served again when that changes. */
     boolean mayOpen(Pool pool) {
         if (young < mostYoung) {
             return true;
@@ -236,7 +249,10 @@
         return false;
     }
 
-    /** Guards against one server's idle connections starving another: of the server that has most, the longest idle. */
+    /**
+     * Makes room for a connection by closing the longest idle connection of the server that has the most, so that
+     * the idle connections of one server do not starve another. Returns whether there is room.
+     */
     boolean makeRoom(long now) {
         if (open >= most) {
             pools.stream()
@@ -246,7 +262,7 @@
                             .thenComparingLong(link -> link.freeSince))
                     .ifPresent(link -> {
                         link.pool.lose(now, link, Closing.ROOM, true);
-                        held.add(link.pool); // what waited there for its rest must not wait for nothing
+                        held.add(link.pool); // uses that waited for the pause of this connection must be served anew
                     });
         }
         return open < most;
@@ -259,7 +275,7 @@
         order(new Order.Open(link));
     }
 
-    /** A connection has brought its first answer. */
+    /** Records that a connection has delivered its first answer. */
     void grown() {
         young--;
     }
--- a/src/main/java/slateseam/router/connections/servers/Use.java
+++ b/src/main/java/slateseam/router/connections/servers/Use.java
@@ -1,8 +1,11 @@
 package slateseam.router.connections.servers;
 
-/** One use of a connection: an attempt of a request, or a probe, from when it asks for a connection until it is over. */
+/**
+ * One use of a connection, for an attempt of a request or for a probe, from the time it asks for a connection until
+ * it ends.
+ */
 public class Use {
-    /** How far it has come. */
+    /** The state of a use. */
     enum State {
         NEW,
         WAITING,
@@ -15,24 +18,24 @@
     final long endsAt;
     final boolean shares;
     State state = State.NEW;
-    /** What carries it; null before that, and once it is over. */
+    /** The connection that the use is assigned to; null while there is none. */
     Link link;
-    /** When it began to wait, later when it was given to its link. */
+    /** The time at which the use began to wait, and after its assignment the time of the assignment. */
     long since;
-    /** Whether another use was out on its link when it was given to it. */
+    /** Whether another use was outstanding on the connection at the assignment. */
     boolean behind;
-    /** Given up for good: its answer may come in vain, as nothing is sent in its place. */
+    /** Whether the use was abandoned with nothing to be sent in its place, so that its answer may arrive unused. */
     boolean last;
 
     private boolean begun;
     private boolean written;
 
     /**
-     * Creates a use that has not asked yet.
+     * Creates a use that has not asked for a connection yet.
      *
-     * @param pool the connections of the server that it is for
-     * @param endsAt when it is of no use any more; nothing is begun within {@link Pool#LEAST_NANOS} of that
-     * @param shares whether it may stand behind others on a connection, and others behind it
+     * @param pool the connections to the server that the use is for
+     * @param endsAt the deadline in nanoseconds; the use is not written within {@link Pool#LEAST_NANOS} before it
+     * @param shares whether the use may be written behind other uses on a connection, and others behind it
      */
     protected Use(Pool pool, long endsAt, boolean shares) {
         this.pool = pool;
@@ -40,22 +43,25 @@
         this.shares = shares;
     }
 
-    /** The connections that it is one use of. */
+    /** Returns the pool of the server that the use is for. */
     public final Pool pool() {
         return pool;
     }
 
-    /** The first of its bytes is about to be written: from now on its connection's end is its own. */
+    /** Records that the first byte is about to be written: from now on the use ends when its connection ends. */
     public final void begin() {
         begun = true;
     }
 
-    /** All of its bytes have been handed to the system: a connection's end tells no more whether it ran. */
+    /**
+     * Records that all bytes have been passed to the operating system: from now on the end of the connection does
+     * not tell whether the server executed the use.
+     */
     public final void markWritten() {
         written = true;
     }
 
-    /** Whether all of its bytes have been handed to the system. */
+    /** Returns whether all bytes have been passed to the operating system. */
     public final boolean isWritten() {
         return written;
     }
@@ -64,7 +70,7 @@
         return begun;
     }
 
-    /** Whether nobody waits for its answer any more, though it may still come. */
+    /** Returns whether nobody waits for the answer any more, though it may still arrive. */
     public final boolean isGivenUp() {
         return state == State.GIVEN_UP || state == State.OVER;
     }
--- a/src/main/java/slateseam/router/connections/servers/package-info.java
+++ b/src/main/java/slateseam/router/connections/servers/package-info.java
@@ -1,7 +1,9 @@
 /**
- * Decides how connections to servers are kept, opened, shared and closed. Does no I/O and knows neither sockets nor clocks:
- * it is told what happens, with the time, and hands out orders, which the passes' network code carries out.
+ * Decides when connections to servers are opened, shared, kept and closed. This package does no I/O and uses neither
+ * sockets nor clocks: callers report events with their time, and the package issues commands that the network code
+ * of the passes executes.
  *
- * <p>It may use nothing else of the program. It is used by passes and by what shows its figures.
+ * <p>The package may not use any other package of the project. The passes and the code that shows its statistics use
+ * it.
  */
 package slateseam.router.connections.servers;
--- a/src/main/java/slateseam/router/connections/useragents/Cause.java
+++ b/src/main/java/slateseam/router/connections/useragents/Cause.java
@@ -1,22 +1,25 @@
 package slateseam.router.connections.useragents;
 
-/** Why a connection of a user agent was ended, as figures show it. */
+/** Why a connection of a user agent was closed, as statistics report it. */
 public enum Cause {
-    /** The user agent closed it, or it broke. */
+    /** The user agent closed the connection, or it broke. */
     LEFT("left"),
-    /** It was idle, or silent from its start, for as long as any may be. */
+    /** The connection reached the maximum idle time, with or without an earlier request. */
     STALE("stale"),
-    /** It made room: it was worth less than a connection that is still to come. */
+    /** The connection was closed to make room, as it had a lower priority than an expected new connection. */
     ROOM("room"),
-    /** It came from where more than half of the connections come from already, while few were left. */
+    /**
+     * The connection came from an address that already holds half of the connection table or more, while few places
+     * were left.
+     */
     CROWD("crowd"),
-    /** What it sent could not be read, or the rest of a command did not come. */
+    /** The user agent sent bytes that could not be parsed, or did not send the rest of a command. */
     MALFORMED("malformed"),
-    /** Its answers were not read. */
+    /** The user agent did not read its answers. */
     UNREAD("unread"),
-    /** The rest of a long value did not come from its server. */
+    /** The server did not deliver the rest of a long value. */
     CUT("cut"),
-    /** The router ends. */
+    /** The router shuts down. */
     PLANNED("planned");
 
     private final String word;
@@ -25,7 +28,7 @@
         this.word = word;
     }
 
-    /** The word that is shown. */
+    /** Returns the word that statistics show. */
     public String word() {
         return word;
     }
--- a/src/main/java/slateseam/router/connections/useragents/Kept.java
+++ b/src/main/java/slateseam/router/connections/useragents/Kept.java
@@ -1,12 +1,12 @@
 package slateseam.router.connections.useragents;
 
-/** One connection as the room sees it; {@link UserAgentRoom} alone changes it. */
+/** The state of one client connection in connection admission; only {@link UserAgentRoom} changes it. */
 public final class Kept {
     private final Object owner;
     Group group;
     Phase phase = Phase.SILENT;
     long since;
-    /** What it is like: see {@link Worth}. */
+    /** The kind of the connection; see {@link Worth}. */
     int kind = Worth.SILENT;
 
     Kept(Object owner, Group group, long now) {
@@ -15,22 +15,22 @@
         this.since = now;
     }
 
-    /** Whose connection it is, as it was told when it was opened. */
+    /** Returns the owner that was given when the connection was opened. */
     public Object owner() {
         return owner;
     }
 
-    /** What it waits for. */
+    /** Returns what the connection waits for. */
     public Phase phase() {
         return phase;
     }
 
-    /** Since when it does, in nanoseconds. */
+    /** Returns the time in nanoseconds since which the connection has been in its phase. */
     public long since() {
         return since;
     }
 
-    /** Whether it can be ended without an answer being owed. */
+    /** Returns whether the connection can be closed without leaving a request unanswered. */
     boolean isSpare() {
         return phase == Phase.SILENT || phase == Phase.IDLE;
     }
--- a/src/main/java/slateseam/router/connections/useragents/Phase.java
+++ b/src/main/java/slateseam/router/connections/useragents/Phase.java
@@ -2,16 +2,16 @@
 
 /** What a connection of a user agent waits for. */
 public enum Phase {
-    /** It has brought no byte yet. */
+    /** No byte has arrived yet. */
     SILENT,
-    /** A part of a command has come. */
+    /** A part of a command has arrived. */
     HALF,
-    /** A request of it is open, or its answer is not read yet. */
+    /** A request is in progress, or its answer has not been read yet. */
     BUSY,
-    /** All is answered. */
+    /** All requests are answered. */
     IDLE,
-    /** The router has ended its sending; the user agent is to end too. */
+    /** The router has closed its sending side, and waits for the user agent to close too. */
     ENDING,
-    /** It is closed. */
+    /** The connection is closed. */
     GONE
 }
--- a/src/main/java/slateseam/router/connections/useragents/Rate.java
+++ b/src/main/java/slateseam/router/connections/useragents/Rate.java
@@ -1,6 +1,8 @@
 package slateseam.router.connections.useragents;
 
-/** How many of something come a second: follows a rise within a tenth of a second, and a fall within about one. */
+/**
+ * Estimates the number of events per second. The estimate follows a rise within 0.1 s, and a fall within about 1 s.
+ */
 final class Rate {
     private static final long WINDOW_NANOS = 100_000_000L;
     private static final double WINDOWS_A_SECOND = 10;
--- a/src/main/java/slateseam/router/connections/useragents/Returns.java
+++ b/src/main/java/slateseam/router/connections/useragents/Returns.java
@@ -1,18 +1,22 @@
 package slateseam.router.connections.useragents;
 
 /**
- * How soon connections of one kind are used again, as far as it has been seen: for each stretch of idle time how many came
- * to its beginning and how many were used within it. Those that were closed in between count up to there, so that a router
- * that closes them early does not take them for useless. Old sights fade as new ones come, so that a mix that turns over
- * is learned anew within some hundred connections.
+ * Learns how soon idle connections of one kind are used again. For each interval of idle time it counts how many
+ * connections reached its beginning and how many were used within it. Connections that were closed before count up
+ * to the time of the close, so that a router that closes connections early does not conclude that they are useless.
+ * Old observations decay as new ones arrive, so that a changed mix of user agents is learned within some hundred
+ * connections.
  */
 final class Returns {
-    /** Stretches: up to 1 ms, then each twice as long; the last begins at 16 s, and nobody is kept for so long. */
+    /**
+     * The number of intervals. The first is 1 ms long and each further interval ends at twice the time; the last
+     * begins at 16 s, longer than any connection is kept idle.
+     */
     static final int STRETCHES = 16;
 
     private static final long FIRST_NANOS = 1_000_000L;
     private static final double SECOND = 1e9;
-    /** Sights are halved when so many lie in the first stretch. */
+    /** Observations are halved when the first interval holds more than this many. */
     private static final double FADE_AT = 200;
 
     private final double[] reached = new double[STRETCHES];
@@ -20,7 +24,12 @@
     private final double[] worth = new double[STRETCHES];
     private boolean stale = true;
 
-    /** Begins with a guess: the part of those that reach a stretch that are used in it, which counts as so many sights. */
+    /**
+     * Creates the estimate from assumed values.
+     *
+     * @param sights the number of observations that the assumed values count as
+     * @param guess the assumed fraction of the connections reaching each interval that are used within it
+     */
     Returns(double sights, double[] guess) {
         for (int i = 0; i < STRETCHES; i++) {
             reached[i] = sights;
@@ -28,19 +37,22 @@
         }
     }
 
-    /** The stretch in which an idle time lies. */
+    /** Returns the index of the interval that contains an idle time. */
     static int stretch(long nanos) {
         return Math.min(STRETCHES - 1, Long.SIZE - Long.numberOfLeadingZeros(Math.max(0, nanos) / FIRST_NANOS));
     }
 
-    /** One was idle for so long and then used. */
+    /** Records that a connection was used after an idle time. */
     void used(long idleNanos) {
         int stretch = stretch(idleNanos);
         reach(stretch);
         used[stretch]++;
     }
 
-    /** One was idle for so long and then closed. The stretch in which that happened tells nothing. */
+    /**
+     * Records that a connection was closed after an idle time. The interval of the close does not count, as it was
+     * not observed completely.
+     */
     void closed(long idleNanos) {
         reach(stretch(idleNanos) - 1);
     }
@@ -59,9 +71,9 @@
     }
 
     /**
-     * Uses a second that keeping one brings which has been idle for so long: the best that can be had by keeping it up to
-     * some later time, the chance of a use until then over the time that it takes (Gittins' index). It never rises with
-     * the idle time, so that of one kind the oldest goes first.
+     * Returns the expected uses per second that keeping a connection with this idle time yields: the maximum, over
+     * all later times, of the probability of a use until then divided by the expected time kept (Gittins index). The
+     * value never rises with the idle time, so that within one kind the connection idle for longest is closed first.
      */
     double worth(long idleNanos) {
         if (stale) {
--- a/src/main/java/slateseam/router/connections/useragents/UserAgentFigures.java
+++ b/src/main/java/slateseam/router/connections/useragents/UserAgentFigures.java
@@ -4,7 +4,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** What connections of user agents came to since the start. */
+/** Statistics of the connections of user agents since the start of the process. */
 public final class UserAgentFigures {
     private long opened;
     private long reused;
@@ -33,22 +33,25 @@
         ended.merge(cause, 1L, Long::sum);
     }
 
-    /** Connections that were taken. */
+    /** Returns the number of accepted connections. */
     public long opened() {
         return opened;
     }
 
-    /** Times that an idle connection was used again. */
+    /** Returns how many times an idle connection was used again. */
     public long reused() {
         return reused;
     }
 
-    /** Connections on which bytes came after the router had ended its sending between requests. */
+    /**
+     * Returns the number of connections on which bytes arrived after the router had closed its sending side between
+     * requests.
+     */
     public long crossed() {
         return crossed;
     }
 
-    /** Connections that were ended, by cause; every cause is there. */
+    /** Returns the number of closed connections by cause; every cause is present. */
     public Map<Cause, Long> ended() {
         return Collections.unmodifiableMap(ended);
     }
--- a/src/main/java/slateseam/router/connections/useragents/UserAgentRoom.java
+++ b/src/main/java/slateseam/router/connections/useragents/UserAgentRoom.java
@@ -5,34 +5,53 @@
 import java.util.Map;
 
 /**
- * The room for connections of user agents. User agents hold so many connections at most for their requests; when all of
- * them stand idle at this router, a request that needs a further one cannot come at all. So some of that number is left
- * free, more while new connections come fast, and what goes for it are the idle connections that are worth least: those
- * that are least likely to be used again soon, as far as those like them have shown. Where several places, listeners or
- * tenants hold idle connections, only those go that hold an even part of them or more; and of several addresses one that
- * holds less than half of its even part of the room gives nothing up.
+ * Connection admission for user agents. User agents hold a limited number of connections for their requests; when
+ * all of them are idle at this router, a request that needs a further connection cannot be sent at all. Some of that
+ * number is therefore kept free, more while new connections arrive fast. To free it, the idle connections with the
+ * lowest priority are closed: the ones least likely to be used again soon, as learned from connections of the same
+ * kind. Where several addresses, listeners or tenants hold idle connections, only groups that hold at least an even
+ * share lose connections. Where there are several addresses, an address that holds less than half of its even share
+ * of the limit loses none.
  *
- * <p>All times are nanoseconds of one clock that does not go backwards. Each call costs at most a look at the kinds of
- * connections of each group that holds any; there are no more groups than connections.
+ * <p>All times are nanoseconds of one monotonic clock. The cost of each call is at most proportional to the number
+ * of connection kinds of all groups; there are no more groups than connections.
  */
 public final class UserAgentRoom {
     private static final long MILLI = 1_000_000L;
-    /** No idle connection is worth more than this: many are left behind by user agents that are gone. */
+    /**
+     * The maximum idle time in nanoseconds, whatever the priority: many idle connections belong to user agents that
+     * no longer exist.
+     */
     private static final long MOST_IDLE_NANOS = 15_000 * MILLI;
-    /** The next request often follows its answer at once; a close would cross it. */
+    /**
+     * The minimum idle time in nanoseconds before a close: the next request often follows its answer at once, and
+     * the close would cross it.
+     */
     private static final long LEAST_IDLE_NANOS = 20 * MILLI;
-    /** The first command comes with the connection, or a way between sites later. */
+    /**
+     * The minimum time in nanoseconds for which a new connection may be silent: the first command arrives with the
+     * connection, or one network delay between sites later.
+     */
     private static final long LEAST_SILENT_NANOS = 50 * MILLI;
-    /** For want of room in the table only: the rest of a command follows its beginning. */
+    /**
+     * The minimum time in nanoseconds before a connection with an incomplete command is closed because the table is
+     * full: the rest of the command normally follows within it.
+     */
     private static final long LEAST_HALF_NANOS = 250 * MILLI;
-    /** For want of room in the table only: user agents end their side within a way between sites. */
+    /**
+     * The minimum time in nanoseconds before a closing connection is dropped because the table is full: user agents
+     * close their side within one network delay between sites.
+     */
     private static final long LEAST_ENDING_NANOS = 50 * MILLI;
-    /** New connections that may come before user agents have seen what was ended. */
+    /**
+     * The time in seconds whose expected new connections are kept free: they may arrive before user agents notice
+     * which connections were closed.
+     */
     private static final double LEFT_FREE_SECONDS = 0.05;
 
     private static final int LEAST_FREE_PART = 16;
     private static final int MOST_FREE_PART = 4;
-    /** The last part of the table is for places that hold less than half of it. */
+    /** The divisor that gives the part of the table reserved for addresses that hold less than half of the table. */
     private static final int SPARED_PART = 8;
 
     private static final long SEEN_NANOS = 10_000 * MILLI;
@@ -42,35 +61,36 @@
     private final Worth worth = new Worth();
     private final Rate coming = new Rate();
     private final UserAgentFigures figures = new UserAgentFigures();
-    /** Those that can go, the one that has been so for longest first, by group and kind. */
+    /** The connections that can be closed, by group and kind, longest idle first. */
     private final Map<Group, Map<Integer, LinkedHashSet<Kept>>> spare = new LinkedHashMap<>();
 
     private final LinkedHashSet<Kept> half = new LinkedHashSet<>();
     private final LinkedHashSet<Kept> ending = new LinkedHashSet<>();
     private final Map<Object, Integer> byAddress = new LinkedHashMap<>();
-    /** When connections of more than one address were last open. */
+    /** The time at which connections of more than one address were last open. */
     private long othersSeen = Long.MIN_VALUE / 2;
 
     private int spares;
     private int open;
 
     /**
-     * Creates the room.
+     * Creates the admission state.
      *
-     * @param table the most connections that may be open, ending ones included
-     * @param held the most connections that user agents hold for their requests; where it is larger, {@code table} counts
+     * @param table the maximum number of open connections, including closing ones
+     * @param held the maximum number of connections that user agents hold for their requests, capped at {@code
+     *     table}
      */
     public UserAgentRoom(int table, int held) {
         bound(table, held);
     }
 
-    /** The same bounds as at its creation, from now on. */
+    /** Changes the limits; the parameters have the meaning of those of the constructor. */
     public void bound(int mostOpen, int mostHeld) {
         table = mostOpen;
         held = Math.max(1, Math.min(mostOpen, mostHeld));
     }
 
-    /** Takes a connection in; its phase is {@link Phase#SILENT}. */
+    /** Registers an accepted connection in phase {@link Phase#SILENT} and returns its state. */
     public Kept opened(Object owner, Object address, int listener, long now) {
         Kept kept = new Kept(owner, new Group(address, listener, -1), now);
         byAddress.merge(address, 1, Integer::sum);
@@ -81,18 +101,21 @@
         return kept;
     }
 
-    /** A connection of this address would be one too many for it: the rest of the table is left to others. */
+    /**
+     * Returns whether a further connection of this address must be rejected, because the rest of the table is
+     * reserved for other addresses.
+     */
     public boolean isCrowding(Object address, long now) {
         boolean shared = byAddress.size() > 1 || now - othersSeen < SEEN_NANOS;
         return shared && all() >= table - table / SPARED_PART && byAddress.getOrDefault(address, 0) >= table / 2;
     }
 
-    /** A connection that was not taken in, for {@link #isCrowding}. */
+    /** Counts a connection that was rejected because of {@link #isCrowding}. */
     public void turnedAway() {
         figures.endedOne(Cause.CROWD);
     }
 
-    /** A connection waits for something else from now on; {@link #ends} and {@link #closed} tell of its end. */
+    /** Changes the phase of a connection; {@link #ends} and {@link #closed} report its end. */
     public void enters(Kept kept, Phase phase, long now) {
         if (phase == kept.phase || kept.phase == Phase.GONE) {
             return;
@@ -101,7 +124,7 @@
         move(kept, phase, kind, now);
     }
 
-    /** The tenant of its last request. */
+    /** Sets the tenant of the last request of a connection. */
     public void asksFor(Kept kept, int tenant) {
         if (tenant != kept.group.tenant()) {
             boolean listed = kept.isSpare();
@@ -115,7 +138,7 @@
         }
     }
 
-    /** The router has ended its sending on a connection, which is to end now. */
+    /** Records that the router has closed its sending side of a connection, which is to end now. */
     public void ends(Kept kept, Cause cause, long now) {
         if (kept.phase != Phase.ENDING && kept.phase != Phase.GONE) {
             unused(kept, now);
@@ -124,7 +147,7 @@
         }
     }
 
-    /** A connection is closed; the cause counts unless it was {@link Phase#ENDING} already. */
+    /** Records that a connection is closed; the cause counts unless the phase was {@link Phase#ENDING} already. */
     public void closed(Kept kept, Cause cause, long now) {
         ends(kept, cause, now);
         if (kept.phase != Phase.GONE) {
@@ -134,66 +157,78 @@
         }
     }
 
-    /** Bytes came on a connection whose sending was ended between requests: its user agent sends them once more. */
+    /**
+     * Counts a connection on which bytes arrived after its sending side was closed between requests; its user agent
+     * sends them again.
+     */
     public void crossed() {
         figures.crossedOne();
     }
 
-    /** Whether all of the table is taken. */
+    /** Returns whether the connection table is full. */
     public boolean isFull() {
         return all() >= table;
     }
 
-    /** How many may stay open now without keeping user agents from opening further ones. */
+    /** Returns how many connections may stay open now without keeping user agents from opening further ones. */
     public int mayStay(long now) {
         int free = (int) (coming.perSecond(now) * LEFT_FREE_SECONDS);
         return held - Math.max(Math.max(1, held / LEAST_FREE_PART), Math.min(held / MOST_FREE_PART, free));
     }
 
     /**
-     * The connection that is to go for want of room, after a last look whether anything has come on it; null if none is,
-     * or none yet ({@link #lookAgain} tells when).
+     * Returns the connection to close to make room, once the caller has checked that no bytes have arrived on it;
+     * null if there is none, or none yet ({@link #lookAgain} returns when to ask again).
      */
     public Kept surplus(long now) {
         return open > mayStay(now) ? leastWorth(now) : null;
     }
 
-    /** When there may be a surplus though nothing happens until then; {@link Long#MAX_VALUE} if not. */
+    /**
+     * Returns when to look for a connection to close although no event occurs; {@link Long#MAX_VALUE} if that is not
+     * needed.
+     */
     public long lookAgain(long now) {
         return open > mayStay(now) && spares > 0 ? now + LEAST_IDLE_NANOS : Long.MAX_VALUE;
     }
 
-    /** For want of room in the table: an ending connection whose user agent has had time to end it; null if there is none. */
+    /**
+     * Returns a closing connection whose user agent has had time to close it, to be dropped when the table is full;
+     * null if there is none.
+     */
     public Kept endingForLongest(long now) {
         return olderThan(ending, LEAST_ENDING_NANOS, now);
     }
 
-    /** For want of room in the table: one that stopped within a command some time ago; null if there is none. */
+    /**
+     * Returns a connection whose command has been incomplete for some time, to be closed when the table is full;
+     * null if there is none.
+     */
     public Kept halfForLongest(long now) {
         return olderThan(half, LEAST_HALF_NANOS, now);
     }
 
-    /** How long a connection may stay as it is without a request: a bound, whatever it is worth. */
+    /** Returns for how many nanoseconds a connection may stay without a request, whatever its priority. */
     public long mostIdleNanos() {
         return MOST_IDLE_NANOS;
     }
 
-    /** Connections that are not being ended. */
+    /** Returns the number of open connections, without closing ones. */
     public int open() {
         return open;
     }
 
-    /** Connections without a request, silent ones included. */
+    /** Returns the number of connections without a request, including silent ones. */
     public int idle() {
         return spares;
     }
 
-    /** Connections that are being ended. */
+    /** Returns the number of closing connections. */
     public int ending() {
         return ending.size();
     }
 
-    /** What connections came to since the start. */
+    /** Returns the statistics since the start of the process. */
     public UserAgentFigures figures() {
         return figures;
     }
@@ -280,7 +315,7 @@
         }
     }
 
-    /** A spare connection is used; returns the kind that it is of from now on. */
+    /** Records that an idle or silent connection is used, and returns its new kind. */
     private int used(Kept kept, long now) {
         long idle = now - kept.since;
         worth.of(kept.kind).used(idle);
@@ -291,7 +326,7 @@
         return Worth.after(idle);
     }
 
-    /** A spare connection ends. */
+    /** Records that an idle or silent connection ends. */
     private void unused(Kept kept, long now) {
         if (kept.isSpare()) {
             worth.of(kept.kind).closed(now - kept.since);
--- a/src/main/java/slateseam/router/connections/useragents/Worth.java
+++ b/src/main/java/slateseam/router/connections/useragents/Worth.java
@@ -2,13 +2,19 @@
 
 import java.util.Arrays;
 
-/** What is known of each kind of connection: new ones, those used once, and those that came back by how soon they did. */
+/**
+ * The priorities of idle connections by kind: new connections, connections used once, and connections used
+ * repeatedly, by their last idle time before a use.
+ */
 final class Worth {
-    /** Nothing has come on it yet. */
+    /** The kind of connections on which nothing has arrived yet. */
     static final int SILENT = 0;
-    /** It was used once. */
+    /** The kind of connections that were used once. */
     static final int ONCE = 1;
-    /** It came back after the first stretch; further kinds follow for longer ones. */
+    /**
+     * The kind of connections that were used again within the first interval of idle time; the kinds for longer
+     * intervals follow.
+     */
     static final int AGAIN = 2;
 
     static final int KINDS = AGAIN + Returns.STRETCHES;
@@ -19,7 +25,7 @@
     Worth() {
         double[] silent = new double[Returns.STRETCHES];
         Arrays.fill(silent, 0.05);
-        Arrays.fill(silent, 0, 4, 0.6); // a command follows at once, or the user agent came for something else
+        Arrays.fill(silent, 0, 4, 0.6); // a command follows at once, or the user agent connected for another purpose
         kinds[SILENT] = new Returns(GUESSED_SIGHTS, silent);
         double[] once = new double[Returns.STRETCHES];
         Arrays.fill(once, 0.25);
@@ -33,7 +39,7 @@
         }
     }
 
-    /** The kind of one that came back after so long. */
+    /** Returns the kind of a connection that was used again after an idle time. */
     static int after(long idleNanos) {
         return AGAIN + Returns.stretch(idleNanos);
     }
--- a/src/main/java/slateseam/router/connections/useragents/package-info.java
+++ b/src/main/java/slateseam/router/connections/useragents/package-info.java
@@ -1,7 +1,9 @@
 /**
- * Which connections of user agents are kept, which are ended, and which new ones are taken. It is told what happens to
- * connections and settles what is to be done; it knows neither sockets nor clocks, every time is handed in.
+ * Connection admission for user agents: decides which connections are kept, which are closed, and which new ones are
+ * accepted. Callers report the events of connections; the package uses neither sockets nor clocks, and every time is
+ * a parameter.
  *
- * <p>It may use nothing of this project. It is used by the user agents' side, which obeys, and by the figures.
+ * <p>The package may not use any other package of the project. The network code for user agents, which executes the
+ * decisions, and the statistics use it.
  */
 package slateseam.router.connections.useragents;
