--- a/src/main/java/slateseam/router/connections/servers/Learned.java
+++ b/src/main/java/slateseam/router/connections/servers/LatencyEstimates.java
@@ -4,27 +4,27 @@
  * Moving averages of the time that a server needs to answer on a used connection, and of the additional cost of a
  * new connection, in nanoseconds.
  */
-final class Learned {
+final class LatencyEstimates {
     private static final double WEIGHT = 0.1;
     /** The answer time in nanoseconds that is assumed before the first measurement. */
-    private static final double FIRST_ANSWER = 10e6;
+    private static final double INITIAL_ANSWER_NANOS = 10e6;
 
-    private static final double FIRST_PRICE = 20e6;
+    private static final double INITIAL_COST_NANOS = 20e6;
     /**
      * The minimum cost in nanoseconds: a connection costs descriptors and work even where the handshake takes no
      * time.
      */
-    private static final double LEAST_PRICE = 100e3;
+    private static final double MIN_COST_NANOS = 100e3;
 
-    private final Learned others;
+    private final LatencyEstimates others;
     private double answer;
-    private double price;
+    private double cost;
 
     /**
      * Creates empty averages. Values not measured yet are taken from {@code others}, the averages of the whole farm;
      * null if there are none.
      */
-    Learned(Learned others) {
+    LatencyEstimates(LatencyEstimates others) {
         this.others = others;
     }
 
@@ -37,18 +37,18 @@
 
     /** Records the time in nanoseconds from the start of connecting to the first answer. */
     void firstAnswered(long nanos) {
-        double sample = Math.max(LEAST_PRICE, nanos - answer());
-        price += (price == 0 ? 1 : WEIGHT) * (sample - price);
+        double sample = Math.max(MIN_COST_NANOS, nanos - answer());
+        cost += (cost == 0 ? 1 : WEIGHT) * (sample - cost);
         if (others != null) {
             others.firstAnswered(nanos);
         }
     }
 
     double answer() {
-        return answer > 0 ? answer : others != null ? others.answer() : FIRST_ANSWER;
+        return answer > 0 ? answer : others != null ? others.answer() : INITIAL_ANSWER_NANOS;
     }
 
-    double price() {
-        return price > 0 ? price : others != null ? others.price() : FIRST_PRICE;
+    double cost() {
+        return cost > 0 ? cost : others != null ? others.cost() : INITIAL_COST_NANOS;
     }
 }
--- a/src/main/java/slateseam/router/connections/servers/Link.java
+++ b/src/main/java/slateseam/router/connections/servers/Link.java
@@ -53,7 +53,7 @@
      * Returns whether no answer has arrived yet, so that the handshake may be unfinished: servers do the work of the
      * handshake with the first request.
      */
-    boolean isYoung() {
+    boolean isUnanswered() {
         return answers == 0;
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** Returns whether every outstanding use is abandoned. */
-    boolean isForsaken() {
+    boolean isAbandoned() {
         Use first = uses.peek();
         if (first == null || !first.isGivenUp()) {
             return false; // the common case; this method runs for every request
--- a/src/main/java/slateseam/router/connections/servers/Pool.java
+++ b/src/main/java/slateseam/router/connections/servers/Pool.java
@@ -13,62 +13,62 @@
      * The minimum time in nanoseconds that must be left before the deadline of a use: with less, its bytes would
      * only cross the final answer of the request.
      */
-    public static final long LEAST_NANOS = 5_000_000L;
+    public static final long MIN_REMAINING_NANOS = 5_000_000L;
     /** The maximum number of uses on one connection, which limits how many are lost when it breaks or is closed. */
-    static final int MOST_SHARED = 4;
+    static final int MAX_USES_PER_CONNECTION = 4;
     /**
      * The idle time-out in nanoseconds of a connection that is not the last one: by then it has cost about as much
      * as a handshake.
      */
-    static final long SPARE_NANOS = 10_000_000_000L;
+    static final long SPARE_IDLE_TIMEOUT_NANOS = 10_000_000_000L;
     /**
      * The minimum time in nanoseconds after which an outstanding use counts as stuck, so that no use is written
      * behind it; it is stuck after 4 usual answer times if that is longer.
      */
-    private static final long LEAST_STUCK = 50_000_000L;
+    private static final long MIN_STUCK_NANOS = 50_000_000L;
 
-    private static final int STUCK = 4;
+    private static final int STUCK_ANSWER_TIMES = 4;
     /**
      * A use that was assigned within this many nanoseconds after its connection was established has borne the cost
      * of the handshake.
      */
-    private static final long AT_ONCE = 1_000_000L;
+    private static final long IMMEDIATE_USE_NANOS = 1_000_000L;
     /**
      * The fraction of the cost of a connection that the waiting time of a use is compared with: a connection serves
      * some tens of uses.
      */
-    private static final double PART = 0.25;
+    private static final double WAIT_COST_FRACTION = 0.25;
     /**
      * After this many verified repetitions of the answer for one key, repetition is normal for the server and a
      * mistaken copy would do no harm.
      */
-    private static final int ENOUGH = 16;
+    private static final int MAX_VERIFIED_REPEATS = 16;
     /** The fraction of the answer time that a use is assumed to lose when it is written behind another. */
-    private static final double HELD_UP = 0.25;
+    private static final double SHARING_DELAY_FRACTION = 0.25;
 
     final ServerConnections all;
-    final Learned learned;
-    final Noise noise = new Noise();
+    final LatencyEstimates learned;
+    final FaultMemory noise = new FaultMemory();
     /** Connections that broke while uses were outstanding. */
-    final Noise breaks = new Noise();
+    final FaultMemory breaks = new FaultMemory();
 
-    final Opening opening;
+    final OpeningPolicy opening;
     final List<Link> links = new ArrayList<>();
     private final boolean shares;
     private final boolean fences;
     private final Deque<Use> waiting = new ArrayDeque<>();
     private boolean ready = true;
     /** The number of verified consecutive identical answers for the same key since stray bytes last arrived. */
-    private int ownRepeats;
+    private int verifiedRepeats;
     /** The time for which a call of {@link #wake} is scheduled; 0 if there is none. */
     private long wakeAt;
 
     Pool(ServerConnections all, boolean shares, boolean fences) {
         this.all = all;
-        this.learned = new Learned(all.learned);
+        this.learned = new LatencyEstimates(all.learned);
         this.shares = shares;
         this.fences = fences;
-        this.opening = new Opening(isPatient());
+        this.opening = new OpeningPolicy(canShare());
     }
 
     int waiting() {
@@ -86,14 +86,15 @@
     void serve(long now) {
         for (Iterator<Use> i = waiting.iterator(); i.hasNext(); ) {
             Use use = i.next();
-            Order.Why why = !ready ? Order.Why.SERVER_GONE : use.endsAt - now < LEAST_NANOS ? Order.Why.LATE : null;
+            Order.Why why =
+                    !ready ? Order.Why.SERVER_GONE : use.endsAt - now < MIN_REMAINING_NANOS ? Order.Why.LATE : null;
             Link link = why == null ? choose(now, use) : null;
             if (why != null) {
                 i.remove();
                 end(use, why);
             } else if (link != null) {
                 i.remove();
-                give(now, link, use);
+                assign(now, link, use);
             } else if (use.shares) {
                 break; // a use that can share accepts any connection, so the later uses cannot get one either
             }
@@ -108,52 +109,54 @@
      * unfinished. Returns null if there is none.
      */
     private Link choose(long now, Use use) {
-        long rest = rest(now);
-        Link rested = null;
-        Link resting = null;
+        long pauseNanos = pauseNanos(now);
+        Link available = null;
+        Link pausing = null;
         Link shared = null;
-        Link unripe = null;
+        Link handshaking = null;
         for (Link link : links) {
             if (link.isFree()) {
                 long idle = now - link.freeSince;
-                if (link.isYoung()) {
-                    if (idle < learned.price()) {
-                        unripe = link;
+                if (link.isUnanswered()) {
+                    if (idle < learned.cost()) {
+                        handshaking = link;
                         continue;
                     }
-                } else if (idle < Math.max(rest, Noise.SOON)) {
-                    resting = idle >= rest && (resting == null || link.freeSince < resting.freeSince) ? link : resting;
+                } else if (idle < Math.max(pauseNanos, FaultMemory.STRAY_WINDOW_NANOS)) {
+                    pausing = idle >= pauseNanos && (pausing == null || link.freeSince < pausing.freeSince)
+                            ? link
+                            : pausing;
                     continue;
                 }
-                rested = rested == null || link.freeSince > rested.freeSince ? link : rested;
+                available = available == null || link.freeSince > available.freeSince ? link : available;
             } else if (use.shares && mayShare(now, link) && (shared == null || link.uses.size() < shared.uses.size())) {
                 shared = link;
             }
         }
-        return rested != null ? rested : resting != null ? resting : shared != null ? shared : unripe;
+        return available != null ? available : pausing != null ? pausing : shared != null ? shared : handshaking;
     }
 
     private boolean mayShare(long now, Link link) {
-        return link.isShareable(mostShared(now)) && !isStuck(now, link);
+        return link.isShareable(maxUsesPerConnection(now)) && !isStuck(now, link);
     }
 
     /** Returns whether uses can share a connection, so that opening another can wait until it is worth its cost. */
-    private boolean isPatient() {
+    private boolean canShare() {
         return all.bounds.streams() > 1;
     }
 
-    private int mostShared(long now) {
+    private int maxUsesPerConnection(long now) {
         boolean holds = !isSuspect(now) && !breaks.isSuspect(now) && !all.breaks.isSuspect(now);
-        return shares && holds ? Math.min(MOST_SHARED, all.bounds.streams()) : 1;
+        return shares && holds ? Math.min(MAX_USES_PER_CONNECTION, all.bounds.streams()) : 1;
     }
 
     private boolean isSuspect(long now) {
         return noise.isSuspect(now) || all.noise.isSuspect(now);
     }
 
-    private long rest(long now) {
-        long least = fences ? 0 : Noise.LEAST_REST;
-        return Math.max(least, Math.max(noise.rest(now), all.noise.rest(now)));
+    private long pauseNanos(long now) {
+        long least = fences ? 0 : FaultMemory.MIN_PAUSE_NANOS;
+        return Math.max(least, Math.max(noise.pauseNanos(now), all.noise.pauseNanos(now)));
     }
 
     private boolean isStuck(long now, Link link) {
@@ -161,18 +164,18 @@
     }
 
     private long stuckNanos(Link link) {
-        return Math.max(LEAST_STUCK, STUCK * usualNanos(link));
+        return Math.max(MIN_STUCK_NANOS, STUCK_ANSWER_TIMES * usualNanos(link));
     }
 
     private long usualNanos(Link link) {
-        return (long) (learned.answer() + (link.isYoung() ? learned.price() : 0));
+        return (long) (learned.answer() + (link.isUnanswered() ? learned.cost() : 0));
     }
 
-    private void give(long now, Link link, Use use) {
+    private void assign(long now, Link link, Use use) {
         use.behind = !link.uses.isEmpty();
         if (use.behind) {
-            opening.waited(now, HELD_UP * learned.answer());
-        } else if (!link.isYoung() && now > use.since) {
+            opening.waited(now, SHARING_DELAY_FRACTION * learned.answer());
+        } else if (!link.isUnanswered() && now > use.since) {
             opening.waited(now, now - use.since);
         }
         if (!use.behind) {
@@ -190,15 +193,15 @@
         for (Link link : links) {
             coming += link.state == Link.State.COMING_UP ? 1 : 0;
         }
-        int unplanned = waiting.size() - coming * mostShared(now);
+        int unplanned = waiting.size() - coming * maxUsesPerConnection(now);
         boolean spare =
-                isPatient() && unplanned <= 0 && links.stream().noneMatch(link -> link.isFree() || link.isYoung());
-        if (spare && mayOpen(now) && opening.isPaid(now, PART * learned.price())) {
+                canShare() && unplanned <= 0 && links.stream().noneMatch(link -> link.isFree() || link.isUnanswered());
+        if (spare && mayOpen(now) && opening.isWorthOpening(now, WAIT_COST_FRACTION * learned.cost())) {
             open(now);
         }
-        for (; unplanned > 0 && mayOpen(now); unplanned -= mostShared(now)) {
+        for (; unplanned > 0 && mayOpen(now); unplanned -= maxUsesPerConnection(now)) {
             double wait = expectedWait(now, unplanned);
-            if (isPatient() && wait <= PART * learned.price()) {
+            if (canShare() && wait <= WAIT_COST_FRACTION * learned.cost()) {
                 return;
             }
             if (!open(now)) {
@@ -208,11 +211,14 @@
     }
 
     private boolean mayOpen(long now) {
-        int young = 0;
+        int unanswered = 0;
         for (Link link : links) {
-            young += link.isYoung() ? 1 : 0;
+            unanswered += link.isUnanswered() ? 1 : 0;
         }
-        return ready && links.size() < opening.most(now) && young < opening.young() && all.mayOpen(this);
+        return ready
+                && links.size() < opening.connectionLimit(now)
+                && unanswered < opening.unansweredLimit()
+                && all.mayOpen(this);
     }
 
     /**
@@ -223,9 +229,9 @@
         double next = Double.MAX_VALUE;
         int busy = 0;
         for (Link link : links) {
-            if (link.isOpen() && !isStuck(now, link) && !(link.isFree() && link.isYoung())) {
+            if (link.isOpen() && !isStuck(now, link) && !(link.isFree() && link.isUnanswered())) {
                 busy++;
-                long left = link.isFree() ? link.freeSince + rest(now) : link.firstSince + usualNanos(link);
+                long left = link.isFree() ? link.freeSince + pauseNanos(now) : link.firstSince + usualNanos(link);
                 next = Math.min(next, Math.max(0, left - now));
             }
         }
@@ -251,8 +257,8 @@
         for (Link link : links) {
             if (link.isFree()) {
                 next = Math.min(next, link.freeSince + keepNanos());
-                next = waiting.isEmpty() ? next : Math.min(next, link.freeSince + rest(now));
-            } else if ((!waiting.isEmpty() || link.isForsaken()) && link.isOpen() && !isStuck(now, link)) {
+                next = waiting.isEmpty() ? next : Math.min(next, link.freeSince + pauseNanos(now));
+            } else if ((!waiting.isEmpty() || link.isAbandoned()) && link.isOpen() && !isStuck(now, link)) {
                 next = Math.min(next, link.firstSince + stuckNanos(link) + 1);
             }
         }
@@ -263,7 +269,7 @@
     }
 
     private long keepNanos() {
-        return links.size() > 1 ? Math.min(SPARE_NANOS, all.keepNanos) : all.keepNanos;
+        return links.size() > 1 ? Math.min(SPARE_IDLE_TIMEOUT_NANOS, all.keepNanos) : all.keepNanos;
     }
 
     void wake(long now) {
@@ -272,7 +278,7 @@
             if (link.isFree() && now - link.freeSince >= keepNanos()) {
                 lose(now, link, Closing.IDLE, true);
             }
-            closeForsaken(now, link);
+            closeAbandoned(now, link);
         }
         serve(now);
     }
@@ -304,16 +310,16 @@
         link.firstSince = now;
         link.freeSince = now;
         link.answeredAt = now;
-        ownRepeats += link.checkingSame ? 1 : 0;
+        verifiedRepeats += link.checkingSame ? 1 : 0;
         link.checking = false;
         link.checkingSame = false;
         if (more && link.uses.isEmpty()) {
-            heard(now, 0);
+            recordFault(now, 0);
             lose(now, link, Closing.NOISE, true);
         } else if (!reusable || !ready && link.uses.isEmpty()) {
             lose(now, link, reusable ? Closing.SERVER_GONE : Closing.ENDED, true);
         } else {
-            closeForsaken(now, link);
+            closeAbandoned(now, link);
         }
         serve(now);
     }
@@ -323,12 +329,12 @@
      * because it may be a copy of that one.
      */
     boolean repeats(long now, Link link, boolean sameKey) {
-        if (sameKey && ownRepeats >= ENOUGH) {
+        if (sameKey && verifiedRepeats >= MAX_VERIFIED_REPEATS) {
             return false;
         }
         Use use = link.uses.peek();
         // After earlier stray bytes the connection has paused before this use.
-        boolean soon = use.since - link.answeredAt < Noise.SOON && !isSuspect(now);
+        boolean soon = use.since - link.answeredAt < FaultMemory.STRAY_WINDOW_NANOS && !isSuspect(now);
         link.checking = fences && (use.behind || soon);
         link.checkingSame = link.checking && sameKey;
         return link.checking;
@@ -336,13 +342,13 @@
 
     private void learn(long now, Link link, Use use) {
         long took = now - use.since;
-        if (link.isYoung()) {
-            if (use.since - link.upAt < AT_ONCE) {
-                double usual = learned.price() + learned.answer();
+        if (link.isUnanswered()) {
+            if (use.since - link.upAt < IMMEDIATE_USE_NANOS) {
+                double usual = learned.cost() + learned.answer();
                 learned.firstAnswered(now - link.openedAt);
                 opening.firstAnswered(now - link.openedAt, usual);
             }
-            all.grown();
+            all.firstAnswerReceived();
         } else if (!use.behind) {
             learned.answered(took);
         }
@@ -350,7 +356,7 @@
 
     /** Handles bytes that belong to no outstanding use. */
     void noise(long now, Link link) {
-        heard(now, link.isYoung() ? 0 : now - link.freeSince);
+        recordFault(now, link.isUnanswered() ? 0 : now - link.freeSince);
         lose(now, link, Closing.NOISE, true);
         serve(now);
     }
@@ -360,22 +366,22 @@
         Use use = link.uses.remove();
         use.state = Use.State.OVER;
         use.link = null;
-        heard(now, 0);
+        recordFault(now, 0);
         lose(now, link, Closing.NOISE, true);
         serve(now);
     }
 
-    private void heard(long now, long late) {
-        ownRepeats = 0;
-        noise.heard(now, late);
-        all.heard(now, this, late);
+    private void recordFault(long now, long late) {
+        verifiedRepeats = 0;
+        noise.recordFault(now, late);
+        all.recordFault(now, this, late);
     }
 
     void broken(long now, Link link) {
         if (!link.uses.isEmpty()) {
             // Limits how many uses are lost at once where connections break.
-            breaks.heard(now, 0);
-            all.heardBreak(now, this);
+            breaks.recordFault(now, 0);
+            all.recordBreak(now, this);
         }
         lose(now, link, link.uses.isEmpty() ? Closing.ENDED : Closing.BROKEN, false);
         serve(now);
@@ -393,7 +399,7 @@
             use.state = Use.State.GIVEN_UP;
             use.last = last;
             if (use.isWritten()) {
-                closeForsaken(now, use.link);
+                closeAbandoned(now, use.link);
             } else {
                 lose(now, use.link, Closing.GIVEN_UP, true);
             }
@@ -405,8 +411,8 @@
      * Closes a connection if all uses outstanding on it are abandoned, unless an answer is still due that became
      * useless only because its request ended: receiving it costs the server less than another handshake.
      */
-    private void closeForsaken(long now, Link link) {
-        if (link.isOpen() && link.isForsaken() && !(link.isLast() && !isStuck(now, link))) {
+    private void closeAbandoned(long now, Link link) {
+        if (link.isOpen() && link.isAbandoned() && !(link.isLast() && !isStuck(now, link))) {
             lose(now, link, Closing.GIVEN_UP, true);
         }
     }
--- a/src/main/java/slateseam/router/connections/servers/ServerConnections.java
+++ b/src/main/java/slateseam/router/connections/servers/ServerConnections.java
@@ -15,7 +15,7 @@
  * commands that {@link #next} returns until it returns null. Not thread-safe.
  *
  * <p>Limits: {@link Bounds#mostConnections} connections in all. Where connections are shared, a quarter of them (at
- * least 4) may be without a first answer, and 2 to 16 for one server, with {@link Pool#MOST_SHARED} uses on one
+ * least 4) may be without a first answer, and 2 to 16 for one server, with {@link Pool#MAX_USES_PER_CONNECTION} uses on one
  * connection; otherwise all may, and 2 to 32 for one server. The number of waiting uses is not limited; each waits
  * until shortly before its deadline.
  */
@@ -24,36 +24,36 @@
      * The fraction of the time for which servers keep an idle connection after which the router closes it, so that
      * no use meets the close by the server.
      */
-    private static final double IDLE_PART = 0.8;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.8;
 
-    private static final int LEAST_COMING = 4;
+    private static final int MIN_UNANSWERED_LIMIT = 4;
     /**
      * The divisor that gives the share of all connections that may be without a first answer where uses can share
      * connections meanwhile.
      */
-    private static final int YOUNG_PART = 4;
+    private static final int UNANSWERED_DIVISOR = 4;
 
     final Bounds bounds;
     /** The current limit on the number of connections. */
-    private int most;
+    private int maxConnections;
 
     final long keepNanos;
-    final Learned learned = new Learned(null);
+    final LatencyEstimates learned = new LatencyEstimates(null);
     /** Stray bytes that came from more than one server; all servers are then assumed to send them. */
-    final Noise noise = new Noise();
+    final FaultMemory noise = new FaultMemory();
 
-    final Noise breaks = new Noise();
-    private final int mostYoung;
+    final FaultMemory breaks = new FaultMemory();
+    private final int maxUnanswered;
     private final List<Pool> pools = new ArrayList<>();
     private final Queue<Order> orders = new ArrayDeque<>();
     /** Pools to serve again once fewer connections are opening elsewhere. */
-    private final Set<Pool> held = new LinkedHashSet<>();
+    private final Set<Pool> deferred = new LinkedHashSet<>();
 
     private final Map<Closing, Long> closed = new EnumMap<>(Closing.class);
     private Pool lastNoisy;
     private Pool lastBroken;
     private int open;
-    private int young;
+    private int unanswered;
     private long opened;
     private long cameUp;
     private long reused;
@@ -63,9 +63,10 @@
     /** Creates the connections without any server. */
     public ServerConnections(Bounds bounds) {
         this.bounds = bounds;
-        this.most = bounds.mostConnections();
-        this.keepNanos = (long) (bounds.idleNanos() * IDLE_PART);
-        this.mostYoung = Math.max(LEAST_COMING, bounds.mostConnections() / (bounds.streams() > 1 ? YOUNG_PART : 1));
+        this.maxConnections = bounds.mostConnections();
+        this.keepNanos = (long) (bounds.idleNanos() * IDLE_TIMEOUT_FRACTION);
+        this.maxUnanswered = Math.max(
+                MIN_UNANSWERED_LIMIT, bounds.mostConnections() / (bounds.streams() > 1 ? UNANSWERED_DIVISOR : 1));
     }
 
     /**
@@ -84,7 +85,7 @@
     /** Removes a server. It is treated as not ready for good; outstanding uses continue. */
     public void remove(long now, Pool pool) {
         ready(now, pool, false);
-        held.remove(pool);
+        deferred.remove(pool);
         pools.remove(pool);
     }
 
@@ -94,20 +95,20 @@
      */
     public void ready(long now, Pool pool, boolean ready) {
         pool.setReady(now, ready);
-        serveHeld(now);
+        serveDeferred(now);
     }
 
     /** Closes the idle connections of an overloaded server, except for its last connection. */
     public void closeIdle(long now, Pool pool) {
         pool.spare(now);
         pool.serve(now);
-        serveHeld(now);
+        serveDeferred(now);
     }
 
     /** Requests a connection for a use. A command follows that either writes the use or ends it. */
     public void ask(long now, Use use) {
         use.pool.ask(now, use);
-        serveHeld(now);
+        serveDeferred(now);
     }
 
     /**
@@ -119,7 +120,7 @@
      */
     public void giveUp(long now, Use use, boolean last) {
         use.pool.giveUp(now, use, last);
-        serveHeld(now);
+        serveDeferred(now);
     }
 
     /**
@@ -128,7 +129,7 @@
      */
     public void cut(long now, Use use) {
         use.pool.cut(now, use);
-        serveHeld(now);
+        serveDeferred(now);
     }
 
     /** Reports that a connection is established. */
@@ -136,7 +137,7 @@
         if (link.state == Link.State.COMING_UP) {
             cameUp++;
             link.pool.up(now, link);
-            serveHeld(now);
+            serveDeferred(now);
         }
     }
 
@@ -144,7 +145,7 @@
     public void failed(long now, Link link) {
         if (link.state == Link.State.COMING_UP) {
             link.pool.failed(now, link);
-            serveHeld(now);
+            serveDeferred(now);
         }
     }
 
@@ -157,7 +158,7 @@
     public void answered(long now, Link link, boolean reusable, boolean more) {
         if (link.isOpen()) {
             link.pool.answered(now, link, reusable, more);
-            serveHeld(now);
+            serveDeferred(now);
         }
     }
 
@@ -176,7 +177,7 @@
     public void noise(long now, Link link) {
         if (link.isOpen()) {
             link.pool.noise(now, link);
-            serveHeld(now);
+            serveDeferred(now);
         }
     }
 
@@ -184,7 +185,7 @@
     public void spoilt(long now, Link link) {
         if (link.isOpen()) {
             link.pool.spoilt(now, link);
-            serveHeld(now);
+            serveDeferred(now);
         }
     }
 
@@ -192,20 +193,20 @@
     public void broken(long now, Link link) {
         if (link.isOpen()) {
             link.pool.broken(now, link);
-            serveHeld(now);
+            serveDeferred(now);
         }
     }
 
     /** Reports that the time of a {@link Order.Wake} has come. */
     public void wake(long now, Pool pool) {
         pool.wake(now);
-        serveHeld(now);
+        serveDeferred(now);
     }
 
     /** Sets the limit on the number of connections; connections beyond the limit are closed when they are idle. */
-    public void bound(long now, int mostConnections) {
-        most = mostConnections;
-        for (int before = open + 1; open > most && open < before; ) {
+    public void bound(long now, int newMaximum) {
+        maxConnections = newMaximum;
+        for (int before = open + 1; open > maxConnections && open < before; ) {
             before = open;
             makeRoom(now);
         }
@@ -226,7 +227,7 @@
                 checked,
                 Map.copyOf(closed),
                 open,
-                young,
+                unanswered,
                 pools.stream().mapToInt(Pool::waiting).sum());
     }
 
@@ -235,17 +236,17 @@
     }
 
     void given(Link link, Use use) {
-        reused += link.isYoung() ? 0 : 1;
+        reused += link.isUnanswered() ? 0 : 1;
         shared += use.behind ? 1 : 0;
         order(new Order.Carry(link, use));
     }
 
     /** Returns whether one more connection may be opened now; if not, the pool is served again when that changes. */
     boolean mayOpen(Pool pool) {
-        if (young < mostYoung) {
+        if (unanswered < maxUnanswered) {
             return true;
         }
-        held.add(pool);
+        deferred.add(pool);
         return false;
     }
 
@@ -254,7 +255,7 @@
      * the idle connections of one server do not starve another. Returns whether there is room.
      */
     boolean makeRoom(long now) {
-        if (open >= most) {
+        if (open >= maxConnections) {
             pools.stream()
                     .flatMap(pool -> pool.links.stream())
                     .filter(Link::isFree)
@@ -262,48 +263,49 @@
                             .thenComparingLong(link -> link.freeSince))
                     .ifPresent(link -> {
                         link.pool.lose(now, link, Closing.ROOM, true);
-                        held.add(link.pool); // uses that waited for the pause of this connection must be served anew
+                        deferred.add(
+                                link.pool); // uses that waited for the pause of this connection must be served anew
                     });
         }
-        return open < most;
+        return open < maxConnections;
     }
 
     void opened(Link link) {
         opened++;
         open++;
-        young++;
+        unanswered++;
         order(new Order.Open(link));
     }
 
     /** Records that a connection has delivered its first answer. */
-    void grown() {
-        young--;
+    void firstAnswerReceived() {
+        unanswered--;
     }
 
     void closed(Link link, Closing cause) {
         closed.merge(cause, 1L, Long::sum);
         open--;
-        young -= link.isYoung() ? 1 : 0;
+        unanswered -= link.isUnanswered() ? 1 : 0;
     }
 
-    void heard(long now, Pool pool, long late) {
+    void recordFault(long now, Pool pool, long late) {
         if (lastNoisy != null && lastNoisy != pool && lastNoisy.noise.isSuspect(now)) {
-            noise.heard(now, late);
+            noise.recordFault(now, late);
         }
         lastNoisy = pool;
     }
 
-    void heardBreak(long now, Pool pool) {
+    void recordBreak(long now, Pool pool) {
         if (lastBroken != null && lastBroken != pool && lastBroken.breaks.isSuspect(now)) {
-            breaks.heard(now, 0);
+            breaks.recordFault(now, 0);
         }
         lastBroken = pool;
     }
 
-    private void serveHeld(long now) {
-        while (!held.isEmpty() && young < mostYoung) {
-            Pool pool = held.iterator().next();
-            held.remove(pool);
+    private void serveDeferred(long now) {
+        while (!deferred.isEmpty() && unanswered < maxUnanswered) {
+            Pool pool = deferred.iterator().next();
+            deferred.remove(pool);
             pool.serve(now);
         }
     }
--- a/src/main/java/slateseam/router/connections/servers/Use.java
+++ b/src/main/java/slateseam/router/connections/servers/Use.java
@@ -34,7 +34,7 @@
      * Creates a use that has not asked for a connection yet.
      *
      * @param pool the connections to the server that the use is for
-     * @param endsAt the deadline in nanoseconds; the use is not written within {@link Pool#LEAST_NANOS} before it
+     * @param endsAt the deadline in nanoseconds; the use is not written within {@link Pool#MIN_REMAINING_NANOS} before it
      * @param shares whether the use may be written behind other uses on a connection, and others behind it
      */
     protected Use(Pool pool, long endsAt, boolean shares) {
--- a/src/main/java/slateseam/router/connections/useragents/Kept.java
+++ b/src/main/java/slateseam/router/connections/useragents/Kept.java
@@ -31,7 +31,7 @@
     }
 
     /** Returns whether the connection can be closed without leaving a request unanswered. */
-    boolean isSpare() {
+    boolean isIdle() {
         return phase == Phase.SILENT || phase == Phase.IDLE;
     }
 }
--- a/src/main/java/slateseam/router/connections/useragents/Rate.java
+++ b/src/main/java/slateseam/router/connections/useragents/Rate.java
@@ -5,8 +5,8 @@
  */
 final class Rate {
     private static final long WINDOW_NANOS = 100_000_000L;
-    private static final double WINDOWS_A_SECOND = 10;
-    private static final double KEPT = 0.8;
+    private static final double WINDOWS_PER_SECOND = 10;
+    private static final double DECAY_PER_WINDOW = 0.8;
 
     private long windowStart;
     private int count;
@@ -19,14 +19,14 @@
 
     double perSecond(long now) {
         roll(now);
-        return Math.max(perSecond, count * WINDOWS_A_SECOND);
+        return Math.max(perSecond, count * WINDOWS_PER_SECOND);
     }
 
     private void roll(long now) {
         long windows = (now - windowStart) / WINDOW_NANOS;
         if (windows > 0) {
-            perSecond =
-                    Math.max(count * WINDOWS_A_SECOND, perSecond * KEPT) * Math.pow(KEPT, Math.min(100, windows - 1));
+            perSecond = Math.max(count * WINDOWS_PER_SECOND, perSecond * DECAY_PER_WINDOW)
+                    * Math.pow(DECAY_PER_WINDOW, Math.min(100, windows - 1));
             count = 0;
             windowStart += windows * WINDOW_NANOS;
         }
--- a/src/main/java/slateseam/router/connections/useragents/Returns.java
+++ b/src/main/java/slateseam/router/connections/useragents/ReuseEstimator.java
@@ -7,46 +7,47 @@
  * Old observations decay as new ones arrive, so that a changed mix of user agents is learned within some hundred
  * connections.
  */
-final class Returns {
+final class ReuseEstimator {
     /**
      * The number of intervals. The first is 1 ms long and each further interval ends at twice the time; the last
      * begins at 16 s, longer than any connection is kept idle.
      */
-    static final int STRETCHES = 16;
+    static final int INTERVALS = 16;
 
-    private static final long FIRST_NANOS = 1_000_000L;
-    private static final double SECOND = 1e9;
+    private static final long FIRST_INTERVAL_NANOS = 1_000_000L;
+    private static final double NANOS_PER_SECOND = 1e9;
     /** Observations are halved when the first interval holds more than this many. */
-    private static final double FADE_AT = 200;
+    private static final double DECAY_THRESHOLD = 200;
 
-    private final double[] reached = new double[STRETCHES];
-    private final double[] used = new double[STRETCHES];
-    private final double[] worth = new double[STRETCHES];
+    private final double[] reached = new double[INTERVALS];
+    private final double[] used = new double[INTERVALS];
+    private final double[] priority = new double[INTERVALS];
     private boolean stale = true;
 
     /**
      * Creates the estimate from assumed values.
      *
-     * @param sights the number of observations that the assumed values count as
+     * @param observations the number of observations that the assumed values count as
      * @param guess the assumed fraction of the connections reaching each interval that are used within it
      */
-    Returns(double sights, double[] guess) {
-        for (int i = 0; i < STRETCHES; i++) {
-            reached[i] = sights;
-            used[i] = sights * guess[i];
+    ReuseEstimator(double observations, double[] guess) {
+        for (int i = 0; i < INTERVALS; i++) {
+            reached[i] = observations;
+            used[i] = observations * guess[i];
         }
     }
 
     /** Returns the index of the interval that contains an idle time. */
-    static int stretch(long nanos) {
-        return Math.min(STRETCHES - 1, Long.SIZE - Long.numberOfLeadingZeros(Math.max(0, nanos) / FIRST_NANOS));
+    static int interval(long nanos) {
+        return Math.min(
+                INTERVALS - 1, Long.SIZE - Long.numberOfLeadingZeros(Math.max(0, nanos) / FIRST_INTERVAL_NANOS));
     }
 
     /** Records that a connection was used after an idle time. */
     void used(long idleNanos) {
-        int stretch = stretch(idleNanos);
-        reach(stretch);
-        used[stretch]++;
+        int interval = interval(idleNanos);
+        reach(interval);
+        used[interval]++;
     }
 
     /**
@@ -54,12 +55,12 @@
      * not observed completely.
      */
     void closed(long idleNanos) {
-        reach(stretch(idleNanos) - 1);
+        reach(interval(idleNanos) - 1);
     }
 
     private void reach(int last) {
-        if (reached[0] > FADE_AT) {
-            for (int i = 0; i < STRETCHES; i++) {
+        if (reached[0] > DECAY_THRESHOLD) {
+            for (int i = 0; i < INTERVALS; i++) {
                 reached[i] /= 2;
                 used[i] /= 2;
             }
@@ -75,16 +76,16 @@
      * all later times, of the probability of a use until then divided by the expected time kept (Gittins index). The
      * value never rises with the idle time, so that within one kind the connection idle for longest is closed first.
      */
-    double worth(long idleNanos) {
+    double priority(long idleNanos) {
         if (stale) {
             stale = false;
             double least = Double.MAX_VALUE;
-            for (int i = 0; i < STRETCHES; i++) {
+            for (int i = 0; i < INTERVALS; i++) {
                 least = Math.min(least, index(i));
-                worth[i] = least;
+                priority[i] = least;
             }
         }
-        return worth[stretch(idleNanos)];
+        return priority[interval(idleNanos)];
     }
 
     private double index(int from) {
@@ -92,7 +93,7 @@
         double left = 1;
         double chance = 0;
         double time = 0;
-        for (int i = from; i < STRETCHES - 1; i++) {
+        for (int i = from; i < INTERVALS - 1; i++) {
             double part = reached[i] <= 0 ? 0 : Math.min(1, used[i] / reached[i]);
             time += left * (1 - part / 2) * seconds(i);
             chance += left * part;
@@ -102,7 +103,7 @@
         return best;
     }
 
-    private static double seconds(int stretch) {
-        return FIRST_NANOS / SECOND * (stretch == 0 ? 1 : 1 << stretch - 1);
+    private static double seconds(int interval) {
+        return FIRST_INTERVAL_NANOS / NANOS_PER_SECOND * (interval == 0 ? 1 : 1 << interval - 1);
     }
 }
--- a/src/main/java/slateseam/router/connections/useragents/UserAgentRoom.java
+++ b/src/main/java/slateseam/router/connections/useragents/UserAgentRoom.java
@@ -17,52 +17,52 @@
  * of connection kinds of all groups; there are no more groups than connections.
  */
 public final class UserAgentRoom {
-    private static final long MILLI = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
     /**
      * The maximum idle time in nanoseconds, whatever the priority: many idle connections belong to user agents that
      * no longer exist.
      */
-    private static final long MOST_IDLE_NANOS = 15_000 * MILLI;
+    private static final long MAX_IDLE_NANOS = 15_000 * NANOS_PER_MILLI;
     /**
      * The minimum idle time in nanoseconds before a close: the next request often follows its answer at once, and
      * the close would cross it.
      */
-    private static final long LEAST_IDLE_NANOS = 20 * MILLI;
+    private static final long MIN_IDLE_NANOS = 20 * NANOS_PER_MILLI;
     /**
      * The minimum time in nanoseconds for which a new connection may be silent: the first command arrives with the
      * connection, or one network delay between sites later.
      */
-    private static final long LEAST_SILENT_NANOS = 50 * MILLI;
+    private static final long MIN_SILENT_NANOS = 50 * NANOS_PER_MILLI;
     /**
      * The minimum time in nanoseconds before a connection with an incomplete command is closed because the table is
      * full: the rest of the command normally follows within it.
      */
-    private static final long LEAST_HALF_NANOS = 250 * MILLI;
+    private static final long MIN_INCOMPLETE_NANOS = 250 * NANOS_PER_MILLI;
     /**
      * The minimum time in nanoseconds before a closing connection is dropped because the table is full: user agents
      * close their side within one network delay between sites.
      */
-    private static final long LEAST_ENDING_NANOS = 50 * MILLI;
+    private static final long MIN_ENDING_NANOS = 50 * NANOS_PER_MILLI;
     /**
      * The time in seconds whose expected new connections are kept free: they may arrive before user agents notice
      * which connections were closed.
      */
-    private static final double LEFT_FREE_SECONDS = 0.05;
+    private static final double FREE_HEADROOM_SECONDS = 0.05;
 
-    private static final int LEAST_FREE_PART = 16;
-    private static final int MOST_FREE_PART = 4;
+    private static final int MIN_FREE_DIVISOR = 16;
+    private static final int MAX_FREE_DIVISOR = 4;
     /** The divisor that gives the part of the table reserved for addresses that hold less than half of the table. */
-    private static final int SPARED_PART = 8;
+    private static final int RESERVED_DIVISOR = 8;
 
-    private static final long SEEN_NANOS = 10_000 * MILLI;
+    private static final long OTHERS_SEEN_NANOS = 10_000 * NANOS_PER_MILLI;
 
     private int table;
     private int held;
-    private final Worth worth = new Worth();
-    private final Rate coming = new Rate();
+    private final Worth priorities = new Worth();
+    private final Rate arrivals = new Rate();
     private final UserAgentFigures figures = new UserAgentFigures();
     /** The connections that can be closed, by group and kind, longest idle first. */
-    private final Map<Group, Map<Integer, LinkedHashSet<Kept>>> spare = new LinkedHashMap<>();
+    private final Map<Group, Map<Integer, LinkedHashSet<Kept>>> idleByGroup = new LinkedHashMap<>();
 
     private final LinkedHashSet<Kept> half = new LinkedHashSet<>();
     private final LinkedHashSet<Kept> ending = new LinkedHashSet<>();
@@ -70,7 +70,7 @@
     /** The time at which connections of more than one address were last open. */
     private long othersSeen = Long.MIN_VALUE / 2;
 
-    private int spares;
+    private int idleCount;
     private int open;
 
     /**
@@ -85,20 +85,20 @@
     }
 
     /** Changes the limits; the parameters have the meaning of those of the constructor. */
-    public void bound(int mostOpen, int mostHeld) {
-        table = mostOpen;
-        held = Math.max(1, Math.min(mostOpen, mostHeld));
+    public void bound(int maxOpen, int maxHeld) {
+        table = maxOpen;
+        held = Math.max(1, Math.min(maxOpen, maxHeld));
     }
 
     /** Registers an accepted connection in phase {@link Phase#SILENT} and returns its state. */
     public Kept opened(Object owner, Object address, int listener, long now) {
-        Kept kept = new Kept(owner, new Group(address, listener, -1), now);
+        Kept connection = new Kept(owner, new Group(address, listener, -1), now);
         byAddress.merge(address, 1, Integer::sum);
-        coming.count(now);
+        arrivals.count(now);
         figures.openedOne();
         open++;
-        join(kept);
-        return kept;
+        join(connection);
+        return connection;
     }
 
     /**
@@ -106,8 +106,8 @@
      * reserved for other addresses.
      */
     public boolean isCrowding(Object address, long now) {
-        boolean shared = byAddress.size() > 1 || now - othersSeen < SEEN_NANOS;
-        return shared && all() >= table - table / SPARED_PART && byAddress.getOrDefault(address, 0) >= table / 2;
+        boolean shared = byAddress.size() > 1 || now - othersSeen < OTHERS_SEEN_NANOS;
+        return shared && all() >= table - table / RESERVED_DIVISOR && byAddress.getOrDefault(address, 0) >= table / 2;
     }
 
     /** Counts a connection that was rejected because of {@link #isCrowding}. */
@@ -116,44 +116,44 @@
     }
 
     /** Changes the phase of a connection; {@link #ends} and {@link #closed} report its end. */
-    public void enters(Kept kept, Phase phase, long now) {
-        if (phase == kept.phase || kept.phase == Phase.GONE) {
+    public void enters(Kept connection, Phase phase, long now) {
+        if (phase == connection.phase || connection.phase == Phase.GONE) {
             return;
         }
-        int kind = kept.isSpare() ? used(kept, now) : kept.kind;
-        move(kept, phase, kind, now);
+        int kind = connection.isIdle() ? used(connection, now) : connection.kind;
+        move(connection, phase, kind, now);
     }
 
     /** Sets the tenant of the last request of a connection. */
-    public void asksFor(Kept kept, int tenant) {
-        if (tenant != kept.group.tenant()) {
-            boolean listed = kept.isSpare();
+    public void asksFor(Kept connection, int tenant) {
+        if (tenant != connection.group.tenant()) {
+            boolean listed = connection.isIdle();
             if (listed) {
-                leave(kept);
+                leave(connection);
             }
-            kept.group = kept.group.of(tenant);
+            connection.group = connection.group.of(tenant);
             if (listed) {
-                join(kept);
+                join(connection);
             }
         }
     }
 
     /** Records that the router has closed its sending side of a connection, which is to end now. */
-    public void ends(Kept kept, Cause cause, long now) {
-        if (kept.phase != Phase.ENDING && kept.phase != Phase.GONE) {
-            unused(kept, now);
+    public void ends(Kept connection, Cause cause, long now) {
+        if (connection.phase != Phase.ENDING && connection.phase != Phase.GONE) {
+            recordUnused(connection, now);
             figures.endedOne(cause);
-            move(kept, Phase.ENDING, kept.kind, now);
+            move(connection, Phase.ENDING, connection.kind, now);
         }
     }
 
     /** Records that a connection is closed; the cause counts unless the phase was {@link Phase#ENDING} already. */
-    public void closed(Kept kept, Cause cause, long now) {
-        ends(kept, cause, now);
-        if (kept.phase != Phase.GONE) {
-            move(kept, Phase.GONE, kept.kind, now);
+    public void closed(Kept connection, Cause cause, long now) {
+        ends(connection, cause, now);
+        if (connection.phase != Phase.GONE) {
+            move(connection, Phase.GONE, connection.kind, now);
             othersSeen = byAddress.size() > 1 ? now : othersSeen;
-            byAddress.computeIfPresent(kept.group.address(), (a, n) -> n == 1 ? null : n - 1);
+            byAddress.computeIfPresent(connection.group.address(), (a, n) -> n == 1 ? null : n - 1);
         }
     }
 
@@ -172,8 +172,8 @@
 
     /** Returns how many connections may stay open now without keeping user agents from opening further ones. */
     public int mayStay(long now) {
-        int free = (int) (coming.perSecond(now) * LEFT_FREE_SECONDS);
-        return held - Math.max(Math.max(1, held / LEAST_FREE_PART), Math.min(held / MOST_FREE_PART, free));
+        int free = (int) (arrivals.perSecond(now) * FREE_HEADROOM_SECONDS);
+        return held - Math.max(Math.max(1, held / MIN_FREE_DIVISOR), Math.min(held / MAX_FREE_DIVISOR, free));
     }
 
     /**
@@ -181,7 +181,7 @@
      * null if there is none, or none yet ({@link #lookAgain} returns when to ask again).
      */
     public Kept surplus(long now) {
-        return open > mayStay(now) ? leastWorth(now) : null;
+        return open > mayStay(now) ? lowestPriority(now) : null;
     }
 
     /**
@@ -189,7 +189,7 @@
      * needed.
      */
     public long lookAgain(long now) {
-        return open > mayStay(now) && spares > 0 ? now + LEAST_IDLE_NANOS : Long.MAX_VALUE;
+        return open > mayStay(now) && idleCount > 0 ? now + MIN_IDLE_NANOS : Long.MAX_VALUE;
     }
 
     /**
@@ -197,7 +197,7 @@
      * null if there is none.
      */
     public Kept endingForLongest(long now) {
-        return olderThan(ending, LEAST_ENDING_NANOS, now);
+        return olderThan(ending, MIN_ENDING_NANOS, now);
     }
 
     /**
@@ -205,12 +205,12 @@
      * null if there is none.
      */
     public Kept halfForLongest(long now) {
-        return olderThan(half, LEAST_HALF_NANOS, now);
+        return olderThan(half, MIN_INCOMPLETE_NANOS, now);
     }
 
     /** Returns for how many nanoseconds a connection may stay without a request, whatever its priority. */
     public long mostIdleNanos() {
-        return MOST_IDLE_NANOS;
+        return MAX_IDLE_NANOS;
     }
 
     /** Returns the number of open connections, without closing ones. */
@@ -220,7 +220,7 @@
 
     /** Returns the number of connections without a request, including silent ones. */
     public int idle() {
-        return spares;
+        return idleCount;
     }
 
     /** Returns the number of closing connections. */
@@ -242,12 +242,12 @@
         return first != null && now - first.since >= least ? first : null;
     }
 
-    private Kept leastWorth(long now) {
-        int even = spares / Math.max(1, spare.size());
+    private Kept lowestPriority(long now) {
+        int even = idleCount / Math.max(1, idleByGroup.size());
         int protectedOnes = byAddress.size() > 1 ? mayStay(now) / (2 * byAddress.size()) : 0;
         Kept least = null;
-        double leastWorth = Double.MAX_VALUE;
-        for (Map.Entry<Group, Map<Integer, LinkedHashSet<Kept>>> group : spare.entrySet()) {
+        double lowestPriority = Double.MAX_VALUE;
+        for (Map.Entry<Group, Map<Integer, LinkedHashSet<Kept>>> group : idleByGroup.entrySet()) {
             Map<Integer, LinkedHashSet<Kept>> kinds = group.getValue();
             int ofGroup = 0;
             for (LinkedHashSet<Kept> queue : kinds.values()) {
@@ -259,77 +259,78 @@
             for (Map.Entry<Integer, LinkedHashSet<Kept>> kind : kinds.entrySet()) {
                 Kept oldest = kind.getValue().iterator().next();
                 long age = now - oldest.since;
-                double value = worth.of(kind.getKey()).worth(age);
-                boolean sooner = value < leastWorth || value == leastWorth && oldest.since < least.since;
-                if (sooner && age >= (oldest.phase == Phase.SILENT ? LEAST_SILENT_NANOS : LEAST_IDLE_NANOS)) {
+                double value = priorities.of(kind.getKey()).priority(age);
+                boolean sooner = value < lowestPriority || value == lowestPriority && oldest.since < least.since;
+                if (sooner && age >= (oldest.phase == Phase.SILENT ? MIN_SILENT_NANOS : MIN_IDLE_NANOS)) {
                     least = oldest;
-                    leastWorth = value;
+                    lowestPriority = value;
                 }
             }
         }
         return least;
     }
 
-    private void move(Kept kept, Phase phase, int kind, long now) {
-        leave(kept);
+    private void move(Kept connection, Phase phase, int kind, long now) {
+        leave(connection);
         if (phase == Phase.ENDING) {
             open--;
         }
-        kept.phase = phase;
-        kept.kind = kind;
-        kept.since = now;
-        join(kept);
+        connection.phase = phase;
+        connection.kind = kind;
+        connection.since = now;
+        join(connection);
     }
 
-    private void join(Kept kept) {
-        switch (kept.phase) {
+    private void join(Kept connection) {
+        switch (connection.phase) {
             case SILENT, IDLE -> {
-                spares++;
-                spare.computeIfAbsent(kept.group, g -> new LinkedHashMap<>())
-                        .computeIfAbsent(kept.kind, k -> new LinkedHashSet<>())
-                        .add(kept);
+                idleCount++;
+                idleByGroup
+                        .computeIfAbsent(connection.group, g -> new LinkedHashMap<>())
+                        .computeIfAbsent(connection.kind, k -> new LinkedHashSet<>())
+                        .add(connection);
             }
-            case HALF -> half.add(kept);
-            case ENDING -> ending.add(kept);
+            case HALF -> half.add(connection);
+            case ENDING -> ending.add(connection);
             default -> {}
         }
     }
 
-    private void leave(Kept kept) {
-        switch (kept.phase) {
+    private void leave(Kept connection) {
+        switch (connection.phase) {
             case SILENT, IDLE -> {
-                spares--;
-                Map<Integer, LinkedHashSet<Kept>> kinds = spare.get(kept.group);
-                LinkedHashSet<Kept> queue = kinds.get(kept.kind);
-                queue.remove(kept);
+                idleCount--;
+                Map<Integer, LinkedHashSet<Kept>> kinds = idleByGroup.get(connection.group);
+                LinkedHashSet<Kept> queue = kinds.get(connection.kind);
+                queue.remove(connection);
                 if (queue.isEmpty()) {
-                    kinds.remove(kept.kind);
+                    kinds.remove(connection.kind);
                 }
                 if (kinds.isEmpty()) {
-                    spare.remove(kept.group);
+                    idleByGroup.remove(connection.group);
                 }
             }
-            case HALF -> half.remove(kept);
-            case ENDING -> ending.remove(kept);
+            case HALF -> half.remove(connection);
+            case ENDING -> ending.remove(connection);
             default -> {}
         }
     }
 
     /** Records that an idle or silent connection is used, and returns its new kind. */
-    private int used(Kept kept, long now) {
-        long idle = now - kept.since;
-        worth.of(kept.kind).used(idle);
-        if (kept.phase == Phase.SILENT) {
-            return Worth.ONCE;
+    private int used(Kept connection, long now) {
+        long idle = now - connection.since;
+        priorities.of(connection.kind).used(idle);
+        if (connection.phase == Phase.SILENT) {
+            return Worth.USED_ONCE;
         }
         figures.reusedOne();
         return Worth.after(idle);
     }
 
     /** Records that an idle or silent connection ends. */
-    private void unused(Kept kept, long now) {
-        if (kept.isSpare()) {
-            worth.of(kept.kind).closed(now - kept.since);
+    private void recordUnused(Kept connection, long now) {
+        if (connection.isIdle()) {
+            priorities.of(connection.kind).closed(now - connection.since);
         }
     }
 }
--- a/src/main/java/slateseam/router/connections/useragents/Worth.java
+++ b/src/main/java/slateseam/router/connections/useragents/Worth.java
@@ -10,41 +10,41 @@
     /** The kind of connections on which nothing has arrived yet. */
     static final int SILENT = 0;
     /** The kind of connections that were used once. */
-    static final int ONCE = 1;
+    static final int USED_ONCE = 1;
     /**
      * The kind of connections that were used again within the first interval of idle time; the kinds for longer
      * intervals follow.
      */
-    static final int AGAIN = 2;
+    static final int REUSED = 2;
 
-    static final int KINDS = AGAIN + Returns.STRETCHES;
-    private static final double GUESSED_SIGHTS = 2;
+    static final int KINDS = REUSED + ReuseEstimator.INTERVALS;
+    private static final double ASSUMED_OBSERVATIONS = 2;
 
-    private final Returns[] kinds = new Returns[KINDS];
+    private final ReuseEstimator[] kinds = new ReuseEstimator[KINDS];
 
     Worth() {
-        double[] silent = new double[Returns.STRETCHES];
+        double[] silent = new double[ReuseEstimator.INTERVALS];
         Arrays.fill(silent, 0.05);
         Arrays.fill(silent, 0, 4, 0.6); // a command follows at once, or the user agent connected for another purpose
-        kinds[SILENT] = new Returns(GUESSED_SIGHTS, silent);
-        double[] once = new double[Returns.STRETCHES];
+        kinds[SILENT] = new ReuseEstimator(ASSUMED_OBSERVATIONS, silent);
+        double[] once = new double[ReuseEstimator.INTERVALS];
         Arrays.fill(once, 0.25);
-        kinds[ONCE] = new Returns(GUESSED_SIGHTS, once);
-        for (int last = 0; last < Returns.STRETCHES; last++) {
-            double[] again = new double[Returns.STRETCHES];
+        kinds[USED_ONCE] = new ReuseEstimator(ASSUMED_OBSERVATIONS, once);
+        for (int last = 0; last < ReuseEstimator.INTERVALS; last++) {
+            double[] again = new double[ReuseEstimator.INTERVALS];
             Arrays.fill(again, 0.1);
             again[last] = 0.6;
-            again[Math.min(last + 1, Returns.STRETCHES - 1)] = 0.6;
-            kinds[AGAIN + last] = new Returns(GUESSED_SIGHTS, again);
+            again[Math.min(last + 1, ReuseEstimator.INTERVALS - 1)] = 0.6;
+            kinds[REUSED + last] = new ReuseEstimator(ASSUMED_OBSERVATIONS, again);
         }
     }
 
     /** Returns the kind of a connection that was used again after an idle time. */
     static int after(long idleNanos) {
-        return AGAIN + Returns.stretch(idleNanos);
+        return REUSED + ReuseEstimator.interval(idleNanos);
     }
 
-    Returns of(int kind) {
+    ReuseEstimator of(int kind) {
         return kinds[kind];
     }
 }
--- a/src/test/java/slateseam/router/connections/servers/AnyOrderTest.java
+++ b/src/test/java/slateseam/router/connections/servers/AnyOrderTest.java
@@ -59,7 +59,7 @@
                     .isLessThanOrEqualTo(most)
                     .isEqualTo(rig.connections.figures().open());
             assertThat(rig.up.values().stream().mapToInt(List::size).max().orElse(0))
-                    .isLessThanOrEqualTo(Math.min(streams, Pool.MOST_SHARED));
+                    .isLessThanOrEqualTo(Math.min(streams, Pool.MAX_USES_PER_CONNECTION));
             for (Pool server : servers) {
                 // Uses that wait where nothing is out and nothing comes up would wait for ever.
                 boolean moves = server.links.stream().anyMatch(link -> !link.uses.isEmpty() || !link.isOpen());
--- a/src/test/java/slateseam/router/connections/servers/ServerConnectionsTest.java
+++ b/src/test/java/slateseam/router/connections/servers/ServerConnectionsTest.java
@@ -122,7 +122,7 @@
                 rig.answerAll();
                 assertThat(servers)
                         .allMatch(pool ->
-                                pool.links.stream().filter(Link::isYoung).count() <= 16);
+                                pool.links.stream().filter(Link::isUnanswered).count() <= 16);
             }
             assertThat(all).allMatch(request -> request.served);
             assertThat(rig.connections.figures().opened())
--- a/src/test/java/slateseam/router/connections/useragents/UserAgentRoomTest.java
+++ b/src/test/java/slateseam/router/connections/useragents/UserAgentRoomTest.java
@@ -143,6 +143,6 @@
         assertThat(crowd.mostOpen).isEqualTo(table);
         assertThat(crowd.room.open() + crowd.room.ending()).isEqualTo(crowd.links.size());
         assertThat(crowd.room.idle()).isEqualTo((int)
-                crowd.links.stream().filter(l -> l.kept.isSpare()).count());
+                crowd.links.stream().filter(l -> l.kept.isIdle()).count());
     }
 }
