--- a/src/main/java/slateseam/router/connections/servers/LatencyEstimates.java
+++ b/src/main/java/slateseam/router/connections/servers/LatencyEstimates.java
@@ -5,6 +5,7 @@
  * new connection, in nanoseconds.
  */
 final class LatencyEstimates {
+    /** The weight of a new sample in the moving averages. */
     private static final double WEIGHT = 0.1;
     /** The answer time in nanoseconds that is assumed before the first measurement. */
     private static final double INITIAL_ANSWER_NANOS = 10e6;
--- a/src/main/java/slateseam/router/connections/useragents/UserAgentRoom.java
+++ b/src/main/java/slateseam/router/connections/useragents/UserAgentRoom.java
@@ -49,11 +49,14 @@
      */
     private static final double FREE_HEADROOM_SECONDS = 0.05;
 
+    /** The divisor that gives the minimum part of the held connections that is kept free. */
     private static final int MIN_FREE_DIVISOR = 16;
+    /** The divisor that gives the maximum part of the held connections that fast arrivals keep free. */
     private static final int MAX_FREE_DIVISOR = 4;
     /** The divisor that gives the part of the table reserved for addresses that hold less than half of the table. */
     private static final int RESERVED_DIVISOR = 8;
 
+    /** The time in nanoseconds for which the reserve is kept after other addresses had connections. */
     private static final long OTHERS_SEEN_NANOS = 10_000 * NANOS_PER_MILLI;
 
     private int table;
--- a/src/main/java/slateseam/router/connections/useragents/Worth.java
+++ b/src/main/java/slateseam/router/connections/useragents/Worth.java
@@ -18,6 +18,7 @@
     static final int REUSED = 2;
 
     static final int KINDS = REUSED + ReuseEstimator.INTERVALS;
+    /** The number of observations that the assumed initial values count as. */
     private static final double ASSUMED_OBSERVATIONS = 2;
 
     private final ReuseEstimator[] kinds = new ReuseEstimator[KINDS];
--- a/src/test/java/slateseam/router/connections/servers/AnyOrderTest.java
+++ b/src/test/java/slateseam/router/connections/servers/AnyOrderTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import slateseam.router.connections.servers.Rig.Request;
 
-/** Whatever happens in whatever order: no use is lost, written twice or left waiting, and the bounds hold. */
+/**
+ * Guards the invariants under random orders of events: no use is lost, written twice or left waiting, and the limits
+ * hold.
+ */
 class AnyOrderTest {
     @ParameterizedTest
     @CsvSource({"1, 83, 100", "2, 83, 1", "3, 4, 100", "4, 390, 100", "5, 390, 1", "6, 1, 4"})
@@ -49,7 +52,7 @@
             }
             rig.obey();
             open.removeIf(r -> r.served || r.why != null || r.isGivenUp());
-            // The caller stops what has had its time.
+            // The caller abandons uses whose deadline has passed.
             for (Request request : List.copyOf(open)) {
                 if (request.endsAt <= rig.now) {
                     rig.giveUp(request);
@@ -61,7 +64,7 @@
             assertThat(rig.up.values().stream().mapToInt(List::size).max().orElse(0))
                     .isLessThanOrEqualTo(Math.min(streams, Pool.MAX_USES_PER_CONNECTION));
             for (Pool server : servers) {
-                // Uses that wait where nothing is out and nothing comes up would wait for ever.
+                // Uses that wait while nothing is outstanding and no connection is opening would wait for ever.
                 boolean moves = server.links.stream().anyMatch(link -> !link.uses.isEmpty() || !link.isOpen());
                 boolean rests = server.links.stream().anyMatch(Link::isFree);
                 assertThat(server.waiting() == 0
--- a/src/test/java/slateseam/router/connections/servers/FarmModel.java
+++ b/src/test/java/slateseam/router/connections/servers/FarmModel.java
@@ -11,9 +11,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Routers and servers in virtual time, with the handshake's work at the server, to see what the module makes of them. A
- * server takes the work of handshakes and requests in the order in which they come, on a few cores; a connection's answers
- * go out in order.
+ * A model of routers and servers in virtual time, including the work of handshakes at the servers. A server
+ * processes handshakes and requests in the order of arrival on a few cores; the answers of a connection are sent in
+ * order.
  */
 final class FarmModel {
     private static final double HANDSHAKE = 17e6;
@@ -46,12 +46,12 @@
         }
     }
 
-    /** A connection as both ends see it. */
+    /** The state of a connection at both ends. */
     private static final class Wire {
         final Server server;
         boolean greeted;
         boolean broken;
-        /** When the last answer leaves. */
+        /** The time at which the last answer is sent. */
         long lastAt;
 
         final Deque<Call> out = new ArrayDeque<>();
@@ -190,7 +190,10 @@
         now = until;
     }
 
-    /** Requests from now to a time, so many a second, to any of the router's servers. */
+    /**
+     * Sends requests from now until the given time, at the given rate per second, to any of the servers of the
+     * router.
+     */
     void load(Router router, long until, double perSecond, long nanos, List<Call> calls) {
         long gap = (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e9);
         if (now + gap < until) {
--- a/src/test/java/slateseam/router/connections/servers/FarmStartTest.java
+++ b/src/test/java/slateseam/router/connections/servers/FarmStartTest.java
@@ -8,7 +8,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Routers that start together, and farms that change, in a model with the handshake's work at the servers. */
+/**
+ * Guards against too many handshakes when routers start at the same time or the farm changes, in a model that
+ * includes the work of handshakes at the servers.
+ */
 class FarmStartTest {
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000_000_000L;
@@ -43,7 +46,7 @@
         return servers.stream().mapToInt(server -> server.handshakes).sum();
     }
 
-    /** A cold server's work takes half as long again. */
+    /** The work of a cold server takes 1.5 times as long. */
     @ParameterizedTest
     @ValueSource(doubles = {1, 1.5})
     void allRoutersStartAtOnce(double cold) {
@@ -89,7 +92,7 @@
                         routers.stream().noneMatch(r -> call.pool() == r.pools.get(0) || call.pool() == r.pools.get(1)))
                 .count();
         assertThat(others).isZero();
-        // What is open stays in use where new connections are refused.
+        // Open connections stay in use where new connections are refused.
         assertThat(calls.stream()
                         .filter(call -> routers.stream().anyMatch(r -> call.pool() == r.pools.get(1)))
                         .filter(call -> call.servedAt == 0)
--- a/src/test/java/slateseam/router/connections/servers/Rig.java
+++ b/src/test/java/slateseam/router/connections/servers/Rig.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import slateseam.router.connections.servers.Order.Why;
 
-/** Carries out the module's orders in virtual time and keeps account of them. */
+/** Executes the commands of the module in virtual time and records their results. */
 final class Rig {
     static final long MILLI = 1_000_000L;
     static final long SECOND = 1_000_000_000L;
@@ -49,7 +49,7 @@
         return request;
     }
 
-    /** Lets the time pass, with the calls that were ordered. */
+    /** Advances the time and makes the scheduled calls. */
     void pass(double millis) {
         long end = now + (long) (millis * MILLI);
         while (!wakes.isEmpty() && wakes.firstKey() <= end) {
@@ -80,7 +80,7 @@
         obey();
     }
 
-    /** What is first on each connection is answered. */
+    /** Answers the first outstanding use on each connection. */
     void answerAll() {
         for (Link link : List.copyOf(up.keySet())) {
             if (!up.getOrDefault(link, List.of()).isEmpty()) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /** What is first on a connection is answered. */
+    /** Answers the first outstanding use on a connection. */
     void answer(Link link) {
         answer(link, false);
     }
@@ -102,7 +102,7 @@
     }
 
     void spoil(Link link) {
-        up.get(link).remove(0).served = true; // it is over, whatever came
+        up.get(link).remove(0).served = true; // the use has ended, whatever arrived
         connections.spoilt(now, link);
         obey();
     }
--- a/src/test/java/slateseam/router/connections/servers/ServerConnectionsTest.java
+++ b/src/test/java/slateseam/router/connections/servers/ServerConnectionsTest.java
@@ -18,7 +18,7 @@
         return server.links.get(0);
     }
 
-    /** A connection that has brought an answer and has rested. */
+    /** Returns a connection that has delivered an answer and whose pause is over. */
     private Link warm() {
         rig.ask(server);
         Link link = first();
@@ -39,7 +39,8 @@
         rig.answer(link);
         rig.pass(7);
         rig.noise(link);
-        // Seen once, 7 ms late: others of this server rest for twice that, and a further one is opened meanwhile.
+        // After stray bytes that came 7 ms late, the connections of this server pause for twice that, and another is
+        // opened.
         Link other = warm();
         rig.ask(server);
         rig.answer(other);
@@ -52,7 +53,7 @@
         rig.pass(1);
         assertThat(three.on).isSameAs(other);
         rig.answer(other);
-        // Another server's go on, and so do these once nothing was heard for half a minute.
+        // Connections to other servers do not pause, nor do these after half a minute without stray bytes.
         rig.pass(30_001);
         rig.ask(server);
         rig.answer(other);
@@ -115,7 +116,7 @@
             }
             assertThat(rig.comingUp).hasSize(32); // a quarter of what may be had
             assertThat(servers).allMatch(pool -> pool.links.size() <= 8);
-            // As those come up and bring answers, the others get theirs.
+            // As those connections are established and deliver answers, the other servers get theirs.
             for (int round = 0; round < 40; round++) {
                 rig.comeUp();
                 rig.pass(10);
@@ -154,7 +155,8 @@
         assertThat(all).allMatch(request -> request.why == null);
         assertThat(rig.comingUp).isEmpty(); // the server takes no more of them just now
         rig.breakOff(link);
-        // What was written may have run; what was not waits for a connection, and ends with that.
+        // A written use may have been executed. An unwritten use waits for a connection, and ends when opening one
+        // fails.
         assertThat(all.stream().filter(request -> request.why == Why.CUT))
                 .hasSize(4)
                 .allMatch(r -> r.on == link);
@@ -183,7 +185,7 @@
         rig.giveUp(row.get(1));
         rig.answer(link);
         assertThat(row.get(0).served).isTrue();
-        // Its own answer is thrown away, the next one's is not.
+        // The answer to the abandoned use is discarded, the next answer is not.
         rig.answer(link);
         assertThat(row.get(1).served).isFalse();
         rig.answer(link);
--- a/src/test/java/slateseam/router/connections/useragents/Crowd.java
+++ b/src/test/java/slateseam/router/connections/useragents/Crowd.java
@@ -8,8 +8,9 @@
 import java.util.Random;
 
 /**
- * User agents before a {@link UserAgentRoom}, in virtual time: a front that obeys the room, and populations of user agents
- * that hold at most so many connections for requests in all. One that is ended sees it 2 ms later.
+ * Simulates user agents of a {@link UserAgentRoom} in virtual time: a front that follows its decisions, and user
+ * agents that together hold a limited number of connections for requests. A user agent notices the close of a
+ * connection 2 ms later.
  */
 final class Crowd {
     static final long MILLI = 1_000_000L;
@@ -18,7 +19,7 @@
 
     private record Due(long at, long number, Runnable action) {}
 
-    /** One connection, at both sides. */
+    /** One connection, with the state of both sides. */
     final class Link {
         final String address;
         final Kept kept;
@@ -30,7 +31,7 @@
             links.add(this);
         }
 
-        /** A request is asked on it; when it is answered, {@code then} goes on. */
+        /** Sends a request on the connection; {@code then} runs when it is answered. */
         void ask(int tenant, Runnable then) {
             room.enters(kept, Phase.BUSY, now);
             room.asksFor(kept, tenant);
@@ -81,7 +82,7 @@
         now = end;
     }
 
-    /** A connection of a user agent; null if there is none to be had, for the user agents or for the front. */
+    /** Returns a new connection of a user agent; null if the limit of the user agents or of the front is reached. */
     Link open(String address) {
         boolean reached =
                 links.stream().filter(link -> link.kept.phase() != Phase.GONE).count() < held;
@@ -141,7 +142,10 @@
         }
     }
 
-    /** New user agents, so many a second, that ask once and keep their connection. */
+    /**
+     * Opens connections of new user agents at the given rate per second; each sends one request and keeps its
+     * connection.
+     */
     void once(String address, double perSecond, long until) {
         if (now < until) {
             after((long) (-Math.log(1 - random.nextDouble()) * 1e9 / perSecond), () -> once(address, perSecond, until));
@@ -152,7 +156,10 @@
         }
     }
 
-    /** A user agent that asks again so long after each answer, on the connection that it has if it still has one. */
+    /**
+     * Simulates a user agent that sends its next request a fixed time after each answer, on its connection if that
+     * is still open.
+     */
     void regular(String address, int tenant, long every, long until, int[] reopened, Link has) {
         if (now >= until) {
             return;
--- a/src/test/java/slateseam/router/connections/useragents/UserAgentRoomTest.java
+++ b/src/test/java/slateseam/router/connections/useragents/UserAgentRoomTest.java
@@ -14,8 +14,9 @@
     private static final long SECOND = 1_000 * MILLI;
 
     /**
-     * Guards against connections that nobody uses again keeping out requests that need a new one: user agents hold 128, and
-     * 300 a second come, ask once and stay. Those that do come back keep theirs, and the mix turns over in the middle.
+     * Guards against idle connections that are never used again blocking requests that need a new connection: user
+     * agents hold 128 connections, and 300 new ones a second arrive, send one request and stay. User agents that
+     * send further requests keep their connections. The mix is inverted in the middle of the run.
      */
     @Test
     void connectionsUsedOnceMakeRoomBesideThoseThatComeBack() {
@@ -42,7 +43,7 @@
         assertThat(later[0]).isLessThan(80);
     }
 
-    /** Nothing is taken from anyone who has room: 60 that come back every 5 s keep their connections for good. */
+    /** Connections are not closed while there is room: 60 user agents that send a request every 5 s keep theirs. */
     @Test
     void whatHasRoomIsKept() {
         Crowd crowd = new Crowd(201, 128);
@@ -55,7 +56,7 @@
         assertThat(crowd.room.figures().ended().values()).containsOnly(0L);
     }
 
-    /** 300 silent connections and 100 half commands at a start, before and while user agents come with requests. */
+    /** 300 silent connections and 100 incomplete commands at a start, before and while user agents send requests. */
     @Test
     void silenceAndHalfCommandsAtAStartHoldNobodyUpForLong() {
         Crowd crowd = new Crowd(201, 400);
@@ -78,7 +79,10 @@
         assertThat(crowd.served).isGreaterThan(500);
     }
 
-    /** One place that opens all it can cannot keep a second one out, nor take what that one keeps. */
+    /**
+     * An address that opens as many connections as it can must not block a second address, nor take the connections
+     * that the second one keeps.
+     */
     @Test
     void onePlaceDoesNotCrowdOutAnother() {
         Crowd crowd = new Crowd(96, 1_000);
@@ -88,7 +92,7 @@
             for (int i = 0; i < 200; i++) {
                 Crowd.Link link = crowd.open("greedy");
                 if (link != null) {
-                    crowd.room.enters(link.kept, Phase.BUSY, crowd.now); // and no answer ever comes
+                    crowd.room.enters(link.kept, Phase.BUSY, crowd.now); // the request is never answered
                 }
             }
         });
@@ -97,7 +101,7 @@
         assertThat(steady[0]).isEqualTo(1);
     }
 
-    /** Of tenants only the one that holds more than an even part of the idle connections gives some up. */
+    /** Only the tenant that holds more than an even share of the idle connections loses some. */
     @Test
     void anEvenPartOfTheRoomIsLeftToATenantThatAsksForLittle() {
         Crowd crowd = new Crowd(200, 120);
@@ -115,7 +119,7 @@
         assertThat(much[0]).isGreaterThan(300);
     }
 
-    /** In whatever order things happen, the table's bound holds and the books agree with the connections. */
+    /** Under random orders of events, the limit of the table holds and the counters match the connections. */
     @ParameterizedTest
     @ValueSource(ints = {124, 585})
     void theTableIsNeverOverfull(int table) {
