--- a/src/test/java/slateseam/router/connections/servers/FarmStartTest.java
+++ b/src/test/java/slateseam/router/connections/servers/FarmStartTest.java
@@ -53,7 +53,7 @@
         farm(12, cold);
         start(4, 900);
         model.run(SECOND / 2);
-        // Without sharing it is 191 and more in the whole run, a third of them in this half second.
+        // Without sharing, there are 191 handshakes or more in the whole run, a third of them in this half second.
         assertThat(handshakes()).isLessThan(110);
         model.run(6 * SECOND);
         assertThat(lost()).isZero();
--- a/src/test/java/slateseam/router/connections/servers/ServerConnectionsTest.java
+++ b/src/test/java/slateseam/router/connections/servers/ServerConnectionsTest.java
@@ -198,7 +198,7 @@
         assertThat(rig.closed).contains(link);
         assertThat(again).extracting(request -> request.why).containsExactly(null, Why.DROPPED, Why.DROPPED);
         rig.answer(rig.ask(server, 480, true).on == null ? first() : link); // the next goes on a connection of its own
-        // One that nobody waits for any more, but for what was given up, is closed.
+        // A connection whose only outstanding use is abandoned is closed.
         Link last = server.links.get(0);
         Request alone = rig.ask(server);
         rig.giveUp(alone);
@@ -265,7 +265,7 @@
         rig.answerAll();
         rig.pass(10);
         others.forEach(rig::ask);
-        // All are busy: a server without a connection gets none, one with a connection waits for that.
+        // All connections are busy: a server without a connection gets none, a server with one waits for it.
         assertThat(rig.ask(rich).why).isEqualTo(Why.NO_ROOM);
         assertThat(rig.ask(poor).why).isNull();
     }
