--- a/src/main/java/slateseam/router/pass/Pass.java
+++ b/src/main/java/slateseam/router/pass/Pass.java
@@ -40,9 +40,9 @@
             long begunAt,
             long endsAt,
             long writtenBy) {
-        // A write must not run twice, so it does not share a connection: a failure of another pass there would leave
-        // the
-        // outcome of the write unknown.
+        // A write must not run twice, so it does not share
+        // a connection: a failure of another pass there
+        // would leave the outcome of the write unknown.
         super(server.pool(), Math.min(endsAt, writtenBy), request != null && !request.isWrite());
         this.ticket = ticket;
         this.attempt = attempt;
--- a/src/main/java/slateseam/router/pass/ServerConnection.java
+++ b/src/main/java/slateseam/router/pass/ServerConnection.java
@@ -159,9 +159,9 @@
         }
         ServerProtocol.Reply reply = first.isProbe() ? protocol.probeReply(in) : protocol.reply(in);
         if (reply == null) {
-            // A reply without a length ends with the connection: restarts the deadline for the rest whenever bytes
-            // arrive,
-            // so that such a reply may take as long as it makes progress.
+            // A reply without a length ends with the connection: restarts
+            // the deadline for the rest whenever bytes arrive, so
+            // that such a reply may take as long as it makes progress.
             boolean goesOn = in.hasRemaining() && protocol.endsWithConnection(in);
             if (goesOn) {
                 awaitRest(false);
--- a/src/main/java/slateseam/router/request/Answer.java
+++ b/src/main/java/slateseam/router/request/Answer.java
@@ -11,7 +11,7 @@
     record Streamed(Incoming value) implements Answer {}
 
     /**
-     * The request was not executed, so a retry is safe.
+     * The request was not served, and repeating it is harmless.
      *
      * @param retryAfterNanos the advised time to wait before a retry, in nanoseconds; 0 for no advice
      */
--- a/src/main/java/slateseam/router/useragent/UserAgent.java
+++ b/src/main/java/slateseam/router/useragent/UserAgent.java
@@ -324,9 +324,9 @@
     public void bytes(ByteBuffer bytes) {
         ByteBuffer kept = ByteBuffer.allocate(bytes.remaining()).put(bytes).flip();
         write(kept);
-        // A user agent that stops reading within a long answer has a deadline too, and its unread bytes count against
-        // the
-        // limit.
+        // A user agent that stops reading within a
+        // long answer has a deadline too, and its
+        // unread bytes count against the limit.
         updateState();
         if (state == State.UNREAD_ANSWER) {
             front.limitUnread();
--- a/src/main/java/slateseam/tier/agreement/Admission.java
+++ b/src/main/java/slateseam/tier/agreement/Admission.java
@@ -51,9 +51,9 @@
                 return raft.change(added) ? "seat-taken seat=" + seat : null;
             }
         }
-        // Voters that are no longer configured leave only after all configured ones have joined, so that the group is
-        // never
-        // smaller than necessary.
+        // Voters that are no longer configured leave
+        // only after all configured ones have joined, so
+        // that the group is never smaller than necessary.
         boolean allJoined = seats.stream().map(Voter::router).toList().containsAll(wanted);
         return allJoined ? remove(raft, seats.stream().filter(seat -> !wanted.contains(seat.router()))) : null;
     }
--- a/src/test/java/slateseam/simulate/tier/MembersHardCasesTest.java
+++ b/src/test/java/slateseam/simulate/tier/MembersHardCasesTest.java
@@ -283,9 +283,9 @@
         for (long seed = 0; seed < SEEDS; seed++) {
             for (int n : new int[] {4, 5, 9, 20}) {
                 MembersWorld world = world(n, seed, Ways.USUAL);
-                // With up to nine members all monitor all; with more, only a part well below one half is certain to
-                // detect
-                // that it is the minority.
+                // With up to nine members all monitor all;
+                // with more, only a part well below one half
+                // is certain to detect that it is the minority.
                 int fewer = n <= 9 ? n / 2 : n * 3 / 10;
                 world.halve(fewer, true);
                 world.run(20 * SECOND);
